--- a/crates/router/src/back_end_notices.rs
+++ b/crates/router/src/back_end_notices.rs
@@ -3,7 +3,7 @@
 use crate::call::Call;
 use crate::dialect::{BackEndNotice, RetryAfter};
 use crate::events;
-use crate::line_budget::LineKind;
+use crate::log_rate_limiter::LogLineKind;
 use crate::router::Router;
 use hyper::http;
 use mastbay_routing::BackEndId;
@@ -29,7 +29,7 @@
                 events::back_end_backoff(id, backoff, head.status, &call.head.request_id);
             }
         }
-        RetryAfter::Malformed(error) if router.may_write_line(LineKind::Failure) => {
+        RetryAfter::Malformed(error) if router.may_write_line(LogLineKind::Failure) => {
             events::retry_after_malformed(id, &error, &call.head.request_id);
         }
         // The line is left out and counted.
@@ -38,7 +38,7 @@
 }
 
 /// Another router tells of back ends that said that they end soon.
-pub fn take_told(router: &Router, told: &[BackEndId], sender: SocketAddr) {
+pub fn apply_reported(router: &Router, told: &[BackEndId], sender: SocketAddr) {
     let now = router.now();
     for id in told {
         if router.dispatcher.borrow_mut().on_draining_told(now, id) {
--- a/crates/router/src/body_budget.rs
+++ b/crates/router/src/body_budget.rs
@@ -19,7 +19,7 @@
 
 /// Bytes taken from a budget; dropped, they are given back.
 #[derive(Debug)]
-pub struct BodyShare {
+pub struct BodyReservation {
     bytes: u64,
     used: Rc<Cell<u64>>,
 }
@@ -31,14 +31,14 @@
     }
 
     /// Takes room for a body of `length` bytes, if there is any.
-    pub fn take(&self, length: Option<u64>) -> Option<BodyShare> {
+    pub fn try_reserve(&self, length: Option<u64>) -> Option<BodyReservation> {
         let bytes = length.unwrap_or(UNTOLD_LENGTH);
         let used = self.used.get().saturating_add(bytes);
         if used > self.most {
             return None;
         }
         self.used.set(used);
-        Some(BodyShare { bytes, used: self.used.clone() })
+        Some(BodyReservation { bytes, used: self.used.clone() })
     }
 
     /// Bytes that bodies may take together.
@@ -52,14 +52,14 @@
     }
 }
 
-impl BodyShare {
+impl BodyReservation {
     /// The bytes that it is of.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 }
 
-impl Drop for BodyShare {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.used.set(self.used.get().saturating_sub(self.bytes));
     }
--- a/crates/router/src/broken_connections.rs
+++ b/crates/router/src/broken_connections.rs
@@ -47,7 +47,7 @@
     }
 
     /// Back ends of which it isn't known yet whether they ended under a request.
-    pub fn awaited_for(&self, request: RequestFingerprint) -> usize {
+    pub fn unresolved_for(&self, request: RequestFingerprint) -> usize {
         self.0.borrow().values().filter(|broken| broken.requests.contains(&request)).count()
     }
 
--- a/crates/router/src/whole_answer.rs
+++ b/crates/router/src/buffered_answer.rs
@@ -2,7 +2,7 @@
 //!
 //! An answer that is ready waits at its back end until there is room for it, and is held until its caller has read it.
 
-use crate::body_budget::{BodyBudget, BodyShare, NO_MEMORY, SMALL_ANSWER};
+use crate::body_budget::{BodyBudget, BodyReservation, NO_MEMORY, SMALL_ANSWER};
 use crate::runtime::Runtime;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -20,7 +20,7 @@
     /// Its bytes.
     pub bytes: Bytes,
     /// Memory taken for it: none for a small one.
-    pub share: Option<BodyShare>,
+    pub share: Option<BodyReservation>,
 }
 
 /// Why there is no whole answer.
@@ -69,12 +69,12 @@
     runtime: Runtime,
     budget: &BodyBudget,
     length: u64,
-) -> Result<BodyShare, WholeAnswerError> {
+) -> Result<BodyReservation, WholeAnswerError> {
     if length > budget.most() {
         return Err(WholeAnswerError::NoMemory);
     }
     loop {
-        if let Some(share) = budget.take(Some(length)) {
+        if let Some(share) = budget.try_reserve(Some(length)) {
             return Ok(share);
         }
         runtime.sleep(ROOM_PAUSE).await;
@@ -85,7 +85,7 @@
 #[derive(Debug, Default)]
 struct Reading {
     held: BytesMut,
-    share: Option<BodyShare>,
+    share: Option<BodyReservation>,
 }
 
 impl Reading {
@@ -108,12 +108,12 @@
         if length > LARGEST {
             return Err(WholeAnswerError::Broken);
         }
-        let allowed = self.share.as_ref().map_or(SMALL_ANSWER, BodyShare::bytes);
+        let allowed = self.share.as_ref().map_or(SMALL_ANSWER, BodyReservation::bytes);
         if length as u64 > allowed {
             // Twice as much each time, as the buffer grows.
             let larger = (2 * length).min(LARGEST) as u64;
             self.share = None;
-            self.share = Some(budget.take(Some(larger)).ok_or(WholeAnswerError::NoMemory)?);
+            self.share = Some(budget.try_reserve(Some(larger)).ok_or(WholeAnswerError::NoMemory)?);
         }
         self.held.extend_from_slice(bytes);
         Ok(())
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -1,6 +1,6 @@
 //! A caller's request on its way: what it is, and what was decided on it.
 
-use crate::body_budget::BodyShare;
+use crate::body_budget::BodyReservation;
 use crate::dialect::CallerHead;
 use bytes::Bytes;
 use hyper::header::HeaderMap;
@@ -38,7 +38,7 @@
     /// Regions in which it may be served.
     pub regions: AllowedRegions,
     /// The router that handed its connection on, if it did not come from its caller.
-    pub handed_on_by: Option<IpAddr>,
+    pub forwarded_by: Option<IpAddr>,
     /// When its head came.
     pub arrived: Timestamp,
     /// When it must have its final answer.
@@ -147,5 +147,5 @@
     /// The bytes.
     pub bytes: Bytes,
     /// Given back when the request has ended.
-    pub share: BodyShare,
+    pub share: BodyReservation,
 }
--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -31,7 +31,8 @@
 ) -> smol::Task<()> {
     let runtime = router.runtime;
     let asked = router.clone();
-    let limits = move || ListenerLimits { overflow_part: asked.overflow_part(), ..limits(&asked) };
+    let limits =
+        move || ListenerLimits { overflow_fraction: asked.overflow_part(), ..limits(&asked) };
     let serving = router.clone();
     let handler = move |_| {
         let serving = serving.clone();
@@ -50,10 +51,10 @@
 async fn serve_offloaded(router: Rc<Router>, listener: TcpListener) {
     let asked = router.clone();
     let limits = move || ListenerLimits {
-        idle_time: OFFLOADED_IDLE,
-        overflow_part: if asked.takes_offloaded() { 0.0 } else { 1.0 },
-        longest_life: Some(OFFLOADED_LIFE),
-        greeting: Some(offload::greeting(asked.versions().0)),
+        idle_timeout: OFFLOADED_IDLE,
+        overflow_fraction: if asked.takes_offloaded() { 0.0 } else { 1.0 },
+        max_age: Some(OFFLOADED_LIFE),
+        hello: Some(offload::greeting(asked.versions().0)),
         ..limits(&asked)
     };
     let serving = router.clone();
@@ -81,12 +82,12 @@
 fn limits(router: &Router) -> ListenerLimits {
     let configured = router.table().map(|table| table.configuration().limits).unwrap_or_default();
     ListenerLimits {
-        most_connections: router.settings.most_connections(),
+        max_connections: router.settings.most_connections(),
         head_bytes: configured.head_bytes,
-        idle_time: configured.idle_time,
-        overflow_part: 0.0,
-        longest_life: None,
-        greeting: None,
+        idle_timeout: configured.idle_time,
+        overflow_fraction: 0.0,
+        max_age: None,
+        hello: None,
     }
 }
 
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -2,12 +2,12 @@
 
 use crate::call::Call;
 use crate::dialect::{OwnAnswer, RetryAfterError};
-use crate::line_budget::LeftOut;
+use crate::log_rate_limiter::SuppressedLines;
 use crate::news::Origin;
 use crate::offload::{Loss, OffloadError};
 use crate::outcome::Outcome;
 use crate::overflow::OverflowCounts;
-use crate::unread::UNREAD_LIMIT;
+use crate::write_timeout::WRITE_TIMEOUT;
 use hyper::StatusCode;
 use mastbay_routing::{
     BackEnd, BackEndDirectory, BackEndId, Considered, EngineKey, EvacuatedZones, Fault, Placement,
@@ -39,7 +39,7 @@
         reason = outcome.reason,
         route = %call.entry.route.name,
         configuration = call.entry.version,
-        handed_on_by = call.handed_on_by.map(|router| router.to_string()),
+        handed_on_by = call.forwarded_by.map(|router| router.to_string()),
         tenant = call.tenant.as_deref().unwrap_or(""),
         service = %call.service,
         back_end,
@@ -72,7 +72,7 @@
         reason = outcome.reason,
         route = %call.entry.route.name,
         configuration = call.entry.version,
-        handed_on_by = call.handed_on_by.map(|router| router.to_string()),
+        handed_on_by = call.forwarded_by.map(|router| router.to_string()),
         tenant = call.tenant.as_deref().unwrap_or(""),
         service = %call.service,
         back_end = %considered.back_end,
@@ -116,8 +116,8 @@
 }
 
 /// Lines about requests were left out in the last second, since there were too many.
-pub fn lines_left_out(left_out: LeftOut) {
-    let LeftOut { successes, failures } = left_out;
+pub fn lines_left_out(left_out: SuppressedLines) {
+    let SuppressedLines { successes, failures } = left_out;
     tracing::warn!(event = "lines_left_out", successes, failures);
 }
 
@@ -264,7 +264,7 @@
 
 /// A caller's connection was ended, since the caller read nothing of its answer for some seconds.
 pub fn answer_unread(caller: SocketAddr) {
-    tracing::info!(event = "answer_unread", caller = %caller, waited_ms = UNREAD_LIMIT.as_millis() as u64);
+    tracing::info!(event = "answer_unread", caller = %caller, waited_ms = WRITE_TIMEOUT.as_millis() as u64);
 }
 
 /// The orders for roll-outs are known.
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -1,20 +1,20 @@
 //! A request's way to back ends: placed, sent, sent again where that is allowed, answered.
 
 use crate::broken_connections;
+use crate::buffered_answer::{WholeAnswer, WholeAnswerError, read_whole};
 use crate::call::Call;
 use crate::dialect::OwnAnswer;
-use crate::ending::{note_end, own_answer};
 use crate::events;
 use crate::headers::{is_delimited, keep_end_to_end};
-use crate::listener::{LocalBody, held_with};
+use crate::listener::{LocalBody, full_with_guard};
 use crate::outcome::{Outcome, OutcomeKind};
+use crate::own_answers::{note_end, own_answer};
 use crate::pool::BackEndConnection;
 use crate::quarantine;
 use crate::relay::{Relay, Source, StreamBody};
 use crate::router::Router;
 use crate::send::{Sender, Try};
 use crate::ticket::Ticket;
-use crate::whole_answer::{WholeAnswer, WholeAnswerError, read_whole};
 use hyper::body::Incoming;
 use hyper::{Response, StatusCode, http};
 use mastbay_routing::{
@@ -282,7 +282,7 @@
             let status = head.status.as_u16();
             note_end(router, call, &Outcome::new(OutcomeKind::Answered).status(status).at(&id));
             keep_end_to_end(&mut head.headers);
-            let mut response = Response::new(held_with(body.share, body.bytes));
+            let mut response = Response::new(full_with_guard(body.share, body.bytes));
             *response.status_mut() = head.status;
             *response.headers_mut() = head.headers;
             response
--- a/crates/router/src/handing_on.rs
+++ b/crates/router/src/handing_on.rs
@@ -2,12 +2,12 @@
 //! or it is served here after all.
 
 use crate::dialect::OwnAnswer;
-use crate::ending::own_answer_bytes;
 use crate::events;
-use crate::line_budget::LineKind;
-use crate::listener::Overflowed;
+use crate::listener::OverflowResult;
+use crate::log_rate_limiter::LogLineKind;
 use crate::offload::{self, Copied, HandedOn, Loss, OffloadError, Offloaded};
 use crate::overflow::OverflowOutcome;
+use crate::own_answers::own_answer_bytes;
 use crate::request_head::{host, parse_head};
 use crate::router::Router;
 use crate::serve::time_allowed;
@@ -24,8 +24,8 @@
 
 /// Hands a connection to a peer of the zone, or else serves it here as far as there is room, or else hands it to a peer of another
 /// zone, or else closes it unread.
-pub(crate) async fn hand_on(router: Rc<Router>, caller: TcpStream) -> Overflowed {
-    let Some(table) = router.table() else { return Overflowed::ServeHere(caller) };
+pub(crate) async fn hand_on(router: Rc<Router>, caller: TcpStream) -> OverflowResult {
+    let Some(table) = router.table() else { return OverflowResult::ServeHere(caller) };
     let draws = (rand::random(), rand::random());
     let in_zone = router.dispatcher.borrow().offload_targets(draws);
     for peer in in_zone {
@@ -35,7 +35,7 @@
     }
     if rand::random::<f64>() >= router.turned_away_part() {
         router.note_overflow(OverflowOutcome::KeptHere);
-        return Overflowed::ServeHere(caller);
+        return OverflowResult::ServeHere(caller);
     }
     // Connections are closed unread whoever's they are, so the tenant that connects most would get most before its share is weighed.
     let elsewhere = router.dispatcher.borrow().offload_target_elsewhere(rand::random());
@@ -45,7 +45,7 @@
         return copy_to(&router, table, peer, offloaded, caller).await;
     }
     router.note_overflow(OverflowOutcome::TurnedAway);
-    Overflowed::Done
+    OverflowResult::Done
 }
 
 /// Asks a peer to take a connection.
@@ -61,7 +61,7 @@
     peer: SocketAddr,
     offloaded: Offloaded,
     caller: TcpStream,
-) -> Overflowed {
+) -> OverflowResult {
     router.note_overflow(OverflowOutcome::HandedOn);
     let interval = router.offload_interval();
     let handed_on = Rc::new(Agreed { router: router.clone(), table });
@@ -71,7 +71,7 @@
         note_unanswered(router, peer, loss, router.now().since(began));
         tell(router, caller, &start, loss).await;
     }
-    Overflowed::Done
+    OverflowResult::Done
 }
 
 /// The configuration that both routers had in force when a connection was handed on.
@@ -110,7 +110,7 @@
 
 fn note_not_taken(router: &Router, peer: SocketAddr, error: &OffloadError) {
     // Else it is counted among the lines that were left out.
-    if router.may_write_line(LineKind::Failure) {
+    if router.may_write_line(LogLineKind::Failure) {
         events::not_offloaded(peer, error);
     }
 }
@@ -118,7 +118,7 @@
 fn note_unanswered(router: &Router, peer: SocketAddr, loss: Loss, waited: Duration) {
     router.note_overflow(OverflowOutcome::Unanswered);
     router.metrics.on_own_answer(answer_after(loss));
-    if router.may_write_line(LineKind::Failure) {
+    if router.may_write_line(LogLineKind::Failure) {
         events::handed_on_unanswered(peer, loss, waited);
     }
 }
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -24,18 +24,18 @@
 use crate::events;
 use crate::offload::GREETING_LENGTH;
 use crate::runtime::Runtime;
-use crate::unread::UnreadGuard;
+use crate::write_timeout::UnreadGuard;
 
 /// The body of an answer; it need not leave the router's thread.
 pub type LocalBody = Pin<Box<dyn Body<Data = Bytes, Error = BodyError>>>;
 
 /// A body known in full.
 pub fn full(bytes: impl Into<Bytes>) -> LocalBody {
-    held_with((), bytes)
+    full_with_guard((), bytes)
 }
 
 /// A body known in full that keeps `holder` until its last byte is given away.
-pub fn held_with<T: Unpin + 'static>(holder: T, bytes: impl Into<Bytes>) -> LocalBody {
+pub fn full_with_guard<T: Unpin + 'static>(holder: T, bytes: impl Into<Bytes>) -> LocalBody {
     Box::pin(WholeBody { left: bytes.into(), _holder: holder })
 }
 
@@ -78,21 +78,21 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ListenerLimits {
     /// Most connections open at a time.
-    pub most_connections: usize,
+    pub max_connections: usize,
     /// Largest head of a request, in bytes.
     pub head_bytes: usize,
     /// Longest time that a connection rests, or that a head takes.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// Part of the new connections that are not served but left to the listener's [`Overflow`].
-    pub overflow_part: f64,
+    pub overflow_fraction: f64,
     /// Time after which the next answer ends a connection, if there is any.
-    pub longest_life: Option<Duration>,
+    pub max_age: Option<Duration>,
     /// What is sent before anything is read, to routers that hand a connection on.
-    pub greeting: Option<[u8; GREETING_LENGTH]>,
+    pub hello: Option<[u8; GREETING_LENGTH]>,
 }
 
 /// What became of a connection that a listener does not serve itself.
-pub enum Overflowed {
+pub enum OverflowResult {
     /// It was served elsewhere, or closed unread: its caller then knows that nothing was read.
     Done,
     /// It is served here after all.
@@ -100,13 +100,13 @@
 }
 
 /// Takes connections that a listener does not serve itself.
-pub type Overflow = Rc<dyn Fn(TcpStream) -> Pin<Box<dyn Future<Output = Overflowed>>>>;
+pub type Overflow = Rc<dyn Fn(TcpStream) -> Pin<Box<dyn Future<Output = OverflowResult>>>>;
 
 /// Closes connections unread.
 pub fn close_unread() -> Overflow {
     Rc::new(|stream| {
         drop(stream);
-        Box::pin(std::future::ready(Overflowed::Done))
+        Box::pin(std::future::ready(OverflowResult::Done))
     })
 }
 
@@ -126,7 +126,7 @@
 
 impl StopSignal {
     /// Gives the signal.
-    pub fn give(&self) {
+    pub fn trigger(&self) {
         self.sender.close();
     }
 
@@ -196,15 +196,15 @@
             None => break,
             // Dropped unread: its caller knows that nothing was read. Callers that come back at once would otherwise
             // keep this loop busy, and nothing else would run.
-            Some(Ok((stream, _))) if open.count() >= limits().most_connections => {
+            Some(Ok((stream, _))) if open.count() >= limits().max_connections => {
                 drop(stream);
                 open.note_refused();
                 runtime.sleep(FULL_PAUSE).await;
             }
             Some(Ok((stream, from))) => {
                 let limits = limits();
-                let overflows =
-                    limits.overflow_part > 0.0 && rand::random::<f64>() < limits.overflow_part;
+                let overflows = limits.overflow_fraction > 0.0
+                    && rand::random::<f64>() < limits.overflow_fraction;
                 let overflow = overflows.then(|| overflow.clone());
                 let (handler, stop, alive) = (handler(from), stop.clone(), alive.clone());
                 let counted = Counted::new(&open);
@@ -212,10 +212,10 @@
                 let on_unread = Rc::new(move || noting.note_unread(from));
                 let task = runtime.spawn(async move {
                     let here = match overflow {
-                        None => Overflowed::ServeHere(stream),
+                        None => OverflowResult::ServeHere(stream),
                         Some(overflow) => overflow(stream).await,
                     };
-                    if let Overflowed::ServeHere(stream) = here {
+                    if let OverflowResult::ServeHere(stream) = here {
                         // A stream that refuses the option still works.
                         let _ = stream.set_nodelay(true);
                         let stream = UnreadGuard::new(stream, runtime, on_unread);
@@ -254,7 +254,7 @@
     }
 
     /// The number of connections ended since the last call, because their callers did not read what they asked for.
-    pub fn take_unread(&self) -> u32 {
+    pub fn take_write_timeouts(&self) -> u32 {
         self.unread.take()
     }
 
@@ -293,12 +293,12 @@
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<LocalBody>> + 'static,
 {
-    if let Some(greeting) = limits.greeting
-        && stream.write_all(&greeting).await.is_err()
+    if let Some(hello) = limits.hello
+        && stream.write_all(&hello).await.is_err()
     {
         return;
     }
-    let ends = limits.longest_life.map(|life| runtime.now() + life);
+    let ends = limits.max_age.map(|life| runtime.now() + life);
     let service = service_fn(move |request| {
         let answer = handler(request);
         async move {
@@ -311,7 +311,7 @@
     });
     let connection = http1::Builder::new()
         .timer(runtime.http_timer())
-        .header_read_timeout(limits.idle_time)
+        .header_read_timeout(limits.idle_timeout)
         .max_buf_size((limits.head_bytes + HEAD_SLACK).max(LEAST_BUFFER))
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
--- a/crates/router/src/line_budget.rs
+++ b/crates/router/src/log_rate_limiter.rs
@@ -13,7 +13,7 @@
 
 /// Whether a line tells of a success.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LineKind {
+pub enum LogLineKind {
     /// It does.
     Success,
     /// It tells of a failure.
@@ -22,7 +22,7 @@
 
 /// Lines that were left out in a period.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct SuppressedLines {
     /// About successes.
     pub successes: u32,
     /// About failures.
@@ -31,29 +31,29 @@
 
 /// The budget of one process.
 #[derive(Debug, Default)]
-pub struct LineBudget {
+pub struct LogRateLimiter {
     since: Timestamp,
     successes: u32,
     failures: u32,
 }
 
-impl LineBudget {
+impl LogRateLimiter {
     /// Whether a line may be written now; and what the period that just ended left out.
-    pub fn take(&mut self, now: Timestamp, kind: LineKind) -> (bool, Option<LeftOut>) {
+    pub fn allow(&mut self, now: Timestamp, kind: LogLineKind) -> (bool, Option<SuppressedLines>) {
         let left_out = self.begin_period(now);
         let (used, most) = match kind {
-            LineKind::Success => (&mut self.successes, SUCCESSES_PER_SECOND),
-            LineKind::Failure => (&mut self.failures, FAILURES_PER_SECOND),
+            LogLineKind::Success => (&mut self.successes, SUCCESSES_PER_SECOND),
+            LogLineKind::Failure => (&mut self.failures, FAILURES_PER_SECOND),
         };
         *used += 1;
         (*used <= most, left_out)
     }
 
-    fn begin_period(&mut self, now: Timestamp) -> Option<LeftOut> {
+    fn begin_period(&mut self, now: Timestamp) -> Option<SuppressedLines> {
         if now.since(self.since) < PERIOD {
             return None;
         }
-        let left_out = LeftOut {
+        let left_out = SuppressedLines {
             successes: self.successes.saturating_sub(SUCCESSES_PER_SECOND),
             failures: self.failures.saturating_sub(FAILURES_PER_SECOND),
         };
--- a/crates/router/src/own_dialect.rs
+++ b/crates/router/src/native_dialect.rs
@@ -39,9 +39,9 @@
 
 /// The product's own dialect.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct OwnDialect;
+pub struct NativeDialect;
 
-impl CallerDialect for OwnDialect {
+impl CallerDialect for NativeDialect {
     fn read(&self, head: &http::request::Parts) -> Result<CallerHead, MalformedRequest> {
         let headers = &head.headers;
         let request_id = text(headers, &REQUEST_ID).ok_or(MalformedRequest::NoId)?.to_owned();
@@ -79,7 +79,7 @@
     }
 }
 
-impl BackEndDialect for OwnDialect {
+impl BackEndDialect for NativeDialect {
     fn outgoing(&self, caller: &HeaderMap, call: &OutgoingCall<'_>) -> HeaderMap {
         let mut headers = caller.clone();
         for name in [AUTHORIZATION, TENANT, BACK_END, LAST_EVENT, OUTCOME] {
--- a/crates/router/src/operations.rs
+++ b/crates/router/src/operations.rs
@@ -1,7 +1,7 @@
 //! What balancers, operators and peers ask of a router: readiness, metrics, snapshots.
 
 use crate::events;
-use crate::listener::{LocalBody, full, held_with};
+use crate::listener::{LocalBody, full, full_with_guard};
 use crate::router::Router;
 use crate::snapshots::{SNAPSHOT_PATH, known_versions};
 use bytes::Bytes;
@@ -38,7 +38,7 @@
     let mut encoded = router.snapshots.borrow_mut();
     match encoded.get(&router.catalogue.borrow(), known) {
         Ok(body) => match router.handing_out.begin(router.now(), body.len()) {
-            Some(handing) => Response::new(held_with(handing, body)),
+            Some(handing) => Response::new(full_with_guard(handing, body)),
             // Whoever asks goes to another router, or comes back soon.
             None => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
         },
--- a/crates/router/src/ending.rs
+++ b/crates/router/src/own_answers.rs
@@ -3,8 +3,8 @@
 use crate::call::Call;
 use crate::dialect::OwnAnswer;
 use crate::events;
-use crate::line_budget::LineKind;
 use crate::listener::{LocalBody, full};
+use crate::log_rate_limiter::LogLineKind;
 use crate::outcome::Outcome;
 use crate::router::Router;
 use hyper::Response;
@@ -37,7 +37,7 @@
 pub fn note_end(router: &Router, call: &Call, outcome: &Outcome) {
     let now = router.now();
     router.metrics.on_end(call, outcome, now);
-    let kind = if outcome.is_success() { LineKind::Success } else { LineKind::Failure };
+    let kind = if outcome.is_success() { LogLineKind::Success } else { LogLineKind::Failure };
     if router.may_write_line(kind) {
         events::ended(call, outcome, now);
     }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -110,7 +110,7 @@
         return quarantine::take_reports(router, reports, sender);
     }
     if let PeerMessage::Draining(told) = &message {
-        return back_end_notices::take_told(router, told, sender);
+        return back_end_notices::apply_reported(router, told, sender);
     }
     let passed_on = router.dispatcher.borrow().passed_on(&message);
     if let Some(Outgoing { message, targets }) = passed_on {
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to back ends: one exchange at a time, kept while clean, bounded over the fleet.
 
-use crate::paced::{Paced, ReadPace};
 use crate::runtime::Runtime;
+use crate::throttled_reader::{Paced, ReadPace};
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use http_body_util::Full;
@@ -170,7 +170,7 @@
     }
 
     /// Closes idle connections to back ends that are no longer listed.
-    pub fn forget(&self, gone: &[BackEndId]) {
+    pub fn remove(&self, gone: &[BackEndId]) {
         let mut back_ends = self.back_ends.borrow_mut();
         gone.iter().for_each(|id| {
             back_ends.remove(id);
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -47,7 +47,7 @@
 }
 
 fn is_verdict_awaited(router: &Router, request: RequestFingerprint) -> bool {
-    let awaited = router.broken.awaited_for(request);
+    let awaited = router.broken.unresolved_for(request);
     let ends = router.quarantine.borrow().ends(router.now(), request);
     awaited > 0 && awaited + ends + 1 >= router.settings.quarantine.ends
 }
@@ -59,7 +59,7 @@
     }
     let request = call.fingerprint();
     let known = router.quarantine.borrow().standing(router.now(), request);
-    let is_awaited = router.broken.awaited_for(request) > 0;
+    let is_awaited = router.broken.unresolved_for(request) > 0;
     if known == RequestStanding::Clear && is_awaited { RequestStanding::Suspect } else { known }
 }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,11 +1,11 @@
 //! A stream on its way to its caller: whole events only, taken up at another back end if that is allowed.
 
-use crate::body_budget::{BodyShare, NO_MEMORY, SMALL_ANSWER};
+use crate::body_budget::{BodyReservation, NO_MEMORY, SMALL_ANSWER};
 use crate::broken_connections;
 use crate::call::Call;
-use crate::ending::note_end;
 use crate::headers::is_delimited;
 use crate::outcome::{Outcome, OutcomeKind};
+use crate::own_answers::note_end;
 use crate::pool::BackEndConnection;
 use crate::quarantine;
 use crate::router::Router;
@@ -102,7 +102,7 @@
     resumes: u32,
     tried: Vec<BackEndId>,
     /// Memory taken for a large event.
-    large_event: Option<BodyShare>,
+    large_event: Option<BodyReservation>,
     noted: bool,
 }
 
@@ -242,12 +242,12 @@
     fn has_memory(&mut self, whole: usize) -> bool {
         let held = (whole + self.splitter.held()) as u64;
         let needed = held * COPIES_OF_EVENT;
-        let taken = self.large_event.as_ref().map_or(0, BodyShare::bytes);
+        let taken = self.large_event.as_ref().map_or(0, BodyReservation::bytes);
         if held <= SMALL_ANSWER || needed <= taken {
             return true;
         }
         self.large_event = None;
-        self.large_event = self.router.bodies.take(Some(needed));
+        self.large_event = self.router.bodies.try_reserve(Some(needed));
         self.large_event.is_some()
     }
 
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -6,8 +6,8 @@
 use crate::dialect::{BackEndDialect, CallerDialect};
 use crate::events;
 use crate::handing_out::HandingOut;
-use crate::line_budget::{LineBudget, LineKind};
 use crate::listener::{OpenConnections, StopSignal};
+use crate::log_rate_limiter::{LogLineKind, LogRateLimiter};
 use crate::metrics::RouterMetrics;
 use crate::news::{News, Origin};
 use crate::overflow::{OverflowAccount, OverflowOutcome};
@@ -62,7 +62,7 @@
     pub(crate) waiting: RefCell<HashMap<TicketId, VerdictSender>>,
     pub(crate) pool: Pool,
     pub(crate) metrics: RouterMetrics,
-    lines: RefCell<LineBudget>,
+    lines: RefCell<LogRateLimiter>,
     pub(crate) bodies: BodyBudget,
     pub(crate) stopping: Cell<bool>,
     overload: RefCell<OverloadGuard>,
@@ -252,7 +252,7 @@
 
     fn use_back_ends(&self, changes: &UsableChanges, origin: Origin) {
         self.dispatcher.borrow_mut().on_back_end_changes(self.now(), changes);
-        self.pool.forget(&changes.gone);
+        self.pool.remove(&changes.gone);
         events::back_ends_known(self.catalogue.borrow().back_ends(), changes, origin);
         self.poll_waiting();
     }
@@ -379,7 +379,7 @@
         let mut account = self.overflow.borrow_mut();
         let full = self.open.take_refused();
         self.metrics.on_full(full);
-        self.metrics.on_unread(self.open.take_unread());
+        self.metrics.on_unread(self.open.take_write_timeouts());
         account.note_full(full);
         if let Some(counts) = account.take_due(now) {
             events::connections_overflowed(counts, self.overload.borrow().lateness());
@@ -433,8 +433,8 @@
     }
 
     /// Whether a log line about a request may be written now. Tells how many were left out, once they can be counted.
-    pub(crate) fn may_write_line(&self, kind: LineKind) -> bool {
-        let (is_written, left_out) = self.lines.borrow_mut().take(self.now(), kind);
+    pub(crate) fn may_write_line(&self, kind: LogLineKind) -> bool {
+        let (is_written, left_out) = self.lines.borrow_mut().allow(self.now(), kind);
         if let Some(left_out) = left_out {
             events::lines_left_out(left_out);
         }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -2,10 +2,10 @@
 
 use crate::call::{Body, Call};
 use crate::dialect::{CallerHead, OwnAnswer};
-use crate::ending::own_answer;
 use crate::events;
 use crate::exchange::Exchange;
 use crate::listener::LocalBody;
+use crate::own_answers::own_answer;
 use crate::request_head::host;
 use crate::router::Router;
 use hyper::body::{Body as _, Incoming};
@@ -115,7 +115,7 @@
     if length.is_some_and(|length| length > limits.body_bytes as u64) {
         return Err(refused(Some(head.request_id), OwnAnswer::TooLarge));
     }
-    let Some(share) = router.bodies.take(length) else {
+    let Some(share) = router.bodies.try_reserve(length) else {
         let retry_after = Some(NO_MEMORY_PAUSE);
         return Err(refused(Some(head.request_id), OwnAnswer::NotRun { retry_after }));
     };
@@ -171,7 +171,7 @@
         service,
         priority,
         regions,
-        handed_on_by: arrival.way.handed_on_by(),
+        forwarded_by: arrival.way.handed_on_by(),
         arrived: arrival.at,
         deadline,
         trace: RefCell::default(),
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -111,12 +111,12 @@
     operations_listener: TcpListener,
 ) {
     let limits = ListenerLimits {
-        most_connections: OPERATIONS_CONNECTIONS,
+        max_connections: OPERATIONS_CONNECTIONS,
         head_bytes: 8 << 10,
-        idle_time: Duration::from_secs(30),
-        overflow_part: 0.0,
-        longest_life: None,
-        greeting: None,
+        idle_timeout: Duration::from_secs(30),
+        overflow_fraction: 0.0,
+        max_age: None,
+        hello: None,
     };
     let never = StopSignal::default();
     let asked = router.clone();
@@ -163,7 +163,7 @@
     let limit = router.settings.stop_limit.saturating_sub(STOP_MARGIN);
     let notice = NOTICE_TIME.min(limit / 2);
     router.runtime.sleep(notice).await;
-    router.stop.give();
+    router.stop.trigger();
     let ended = router.runtime.within(limit - notice, serving).await;
     events::life(if ended.is_ok() { "stopped" } else { "stopped_at_limit" }, name);
 }
--- a/crates/router/src/unread.rs
+++ b/crates/router/src/write_timeout.rs
@@ -14,7 +14,7 @@
 
 /// Time for which no byte of an answer leaves until its connection ends: longer than a network heals from a lost packet, and shorter
 /// than callers wait for a stream.
-pub const UNREAD_LIMIT: Duration = Duration::from_secs(5);
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Wraps a connection of a caller.
 pub struct UnreadGuard<S> {
@@ -41,7 +41,7 @@
             return written;
         }
         let runtime = self.runtime;
-        let blocked = self.blocked.get_or_insert_with(|| runtime.sleep(UNREAD_LIMIT));
+        let blocked = self.blocked.get_or_insert_with(|| runtime.sleep(WRITE_TIMEOUT));
         if Pin::new(blocked).poll(context).is_pending() {
             return Poll::Pending;
         }
--- a/crates/router/tests/notices.rs
+++ b/crates/router/tests/notices.rs
@@ -5,7 +5,7 @@
 use mastbay_router::dialect::{
     BackEndDialect, BackEndNotice, RetryAfter, RetryAfterError, read_retry_after,
 };
-use mastbay_router::own_dialect::OwnDialect;
+use mastbay_router::native_dialect::NativeDialect;
 use quickcheck::quickcheck;
 use std::time::Duration;
 
@@ -86,6 +86,6 @@
         (response(503, &[own, ("mastbay-outcome", "not-run-replaced"), draining, pause]), nothing),
     ];
     for (head, expected) in cases {
-        assert_eq!(OwnDialect.notice("r1", &head), expected, "{head:?}");
+        assert_eq!(NativeDialect.notice("r1", &head), expected, "{head:?}");
     }
 }
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod lists;
 
-use mastbay_router::own_dialect::OwnDialect;
+use mastbay_router::native_dialect::NativeDialect;
 use mastbay_router::{Origin, Router, RouterMetrics, RouterSettings, Runtime, Seams};
 use mastbay_routing::{
     AllowedRegions, BackEnd, BackEndId, BackEndList, BackEndState, BudgetLimits, Digest,
@@ -265,7 +265,7 @@
         let settings = RouterSettings { zone: zone.to_owned(), ..settings(&mut ports) };
         // The router's listeners stay open as long as this process runs, and so must its block.
         std::mem::forget(ports);
-        let seams = Seams { callers: Box::new(OwnDialect), back_ends: Box::new(OwnDialect) };
+        let seams = Seams { callers: Box::new(NativeDialect), back_ends: Box::new(NativeDialect) };
         let mut registry = Registry::default();
         let metrics = RouterMetrics::register(&mut registry);
         let router = Router::new(settings.clone(), seams, runtime, metrics);
