--- a/crates/router/src/back_end_notices.rs
+++ b/crates/router/src/back_end_notices.rs
@@ -11,7 +11,7 @@
 
 /// Takes what the head of an answer says of the back end that gave it.
 pub fn take(router: &Router, call: &Call, id: &BackEndId, head: &http::response::Parts) {
-    let notice = router.seams.back_ends.notice(&call.head.request_id, head);
+    let notice = router.dialects.back_ends.notice(&call.head.request_id, head);
     if notice == BackEndNotice::default() {
         return;
     }
@@ -19,12 +19,12 @@
     if notice.is_draining && router.dispatcher.borrow_mut().on_draining(now, id) {
         events::back_end_draining(id, Some(&call.head.request_id), "own");
         router.metrics.on_back_end_draining();
-        router.news.give();
+        router.update_signal.notify();
     }
     match notice.retry_after {
         RetryAfter::Absent => {}
         RetryAfter::After(backoff) => {
-            router.metrics.on_backoff_asked();
+            router.metrics.on_backoff_requested();
             if router.dispatcher.borrow_mut().on_backoff(now, id, backoff) {
                 events::back_end_backoff(id, backoff, head.status, &call.head.request_id);
             }
--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -1,6 +1,6 @@
 //! Connections of callers: served here, handed to a peer, or taken from one.
 
-use crate::handing_on::hand_on;
+use crate::forwarding::forward_connection;
 use crate::listener::{ListenerLimits, LocalBody, Overflow, close_unread, serve};
 use crate::offload;
 use crate::router::Router;
@@ -31,7 +31,8 @@
 ) -> smol::Task<()> {
     let runtime = router.runtime;
     let asked = router.clone();
-    let limits = move || ListenerLimits { overflow_part: asked.overflow_part(), ..limits(&asked) };
+    let limits =
+        move || ListenerLimits { overflow_part: asked.overflow_fraction(), ..limits(&asked) };
     let serving = router.clone();
     let handler = move |_| {
         let serving = serving.clone();
@@ -51,9 +52,9 @@
     let asked = router.clone();
     let limits = move || ListenerLimits {
         idle_time: OFFLOADED_IDLE,
-        overflow_part: if asked.takes_offloaded() { 0.0 } else { 1.0 },
+        overflow_part: if asked.accepts_offloaded() { 0.0 } else { 1.0 },
         longest_life: Some(OFFLOADED_LIFE),
-        greeting: Some(offload::greeting(asked.versions().0)),
+        greeting: Some(offload::hello(asked.versions().0)),
         ..limits(&asked)
     };
     let serving = router.clone();
@@ -81,7 +82,7 @@
 fn limits(router: &Router) -> ListenerLimits {
     let configured = router.table().map(|table| table.configuration().limits).unwrap_or_default();
     ListenerLimits {
-        most_connections: router.settings.most_connections(),
+        most_connections: router.settings.max_connections(),
         head_bytes: configured.head_bytes,
         idle_time: configured.idle_time,
         overflow_part: 0.0,
@@ -92,5 +93,5 @@
 
 fn overflow(router: &Rc<Router>) -> Overflow {
     let router = router.clone();
-    Rc::new(move |caller| Box::pin(hand_on(router.clone(), caller)))
+    Rc::new(move |caller| Box::pin(forward_connection(router.clone(), caller)))
 }
--- a/crates/router/src/catalogue.rs
+++ b/crates/router/src/catalogue.rs
@@ -37,7 +37,7 @@
 
 /// What an operator may order, so that a router has to know the orders before it serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct PossibleOrders {
+pub struct EnabledOrders {
     /// Zones may be evacuated.
     pub evacuations: bool,
     /// Versions may be rolled out.
@@ -51,12 +51,12 @@
     back_ends: BackEndDirectory,
     evacuations: Evacuations,
     rollouts: Option<Rollouts>,
-    possible: PossibleOrders,
+    possible: EnabledOrders,
 }
 
 impl Catalogue {
     /// A catalogue that knows nothing yet.
-    pub fn new(possible: PossibleOrders) -> Self {
+    pub fn new(possible: EnabledOrders) -> Self {
         Self { possible, ..Self::default() }
     }
 
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -27,7 +27,7 @@
     }
 
     /// Goes ahead, as after a suspension.
-    pub fn go_ahead(&self, span: Duration) {
+    pub fn advance(&self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         self.ahead.fetch_add(micros, Ordering::Relaxed);
     }
--- a/crates/router/src/ending.rs
+++ b/crates/router/src/ending.rs
@@ -13,7 +13,7 @@
 pub fn own_answer_bytes(router: &Router, request_id: Option<&str>, answer: OwnAnswer) -> Vec<u8> {
     let body = format!("{answer}\n");
     let mut bytes = format!("HTTP/1.1 {}\r\n", answer.status()).into_bytes();
-    for (name, value) in &router.seams.callers.own_headers(request_id, answer) {
+    for (name, value) in &router.dialects.callers.own_headers(request_id, answer) {
         bytes.extend([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"].concat());
     }
     let end = format!("connection: close\r\ncontent-length: {}\r\n\r\n{body}", body.len());
@@ -29,7 +29,7 @@
 ) -> Response<LocalBody> {
     let mut response = Response::new(full(format!("{answer}\n")));
     *response.status_mut() = answer.status();
-    *response.headers_mut() = router.seams.callers.own_headers(request_id, answer);
+    *response.headers_mut() = router.dialects.callers.own_headers(request_id, answer);
     response
 }
 
@@ -39,6 +39,6 @@
     router.metrics.on_end(call, outcome, now);
     let kind = if outcome.is_success() { LineKind::Success } else { LineKind::Failure };
     if router.may_write_line(kind) {
-        events::ended(call, outcome, now);
+        events::request_ended(call, outcome, now);
     }
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -3,11 +3,11 @@
 use crate::call::Call;
 use crate::dialect::{OwnAnswer, RetryAfterError};
 use crate::line_budget::LeftOut;
-use crate::news::Origin;
-use crate::offload::{Loss, OffloadError};
+use crate::offload::{OffloadError, PeerFailure};
 use crate::outcome::Outcome;
 use crate::overflow::OverflowCounts;
 use crate::unread::UNREAD_LIMIT;
+use crate::update_signal::Origin;
 use hyper::StatusCode;
 use mastbay_routing::{
     BackEnd, BackEndDirectory, BackEndId, Considered, EngineKey, EvacuatedZones, Fault, Placement,
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// A request ended. What decided against it follows if it was refused.
-pub fn ended(call: &Call, outcome: &Outcome, now: Timestamp) {
+pub fn request_ended(call: &Call, outcome: &Outcome, now: Timestamp) {
     match call.trace.borrow().considered.as_ref() {
         Some(considered) => refused(call, outcome, considered, now),
         None => served_or_failed(call, outcome, now),
@@ -98,7 +98,7 @@
 }
 
 /// A request was answered before it was routed.
-pub fn turned_away(
+pub fn request_turned_away(
     request_id: Option<&str>,
     answer: OwnAnswer,
     versions: (u64, Revision),
@@ -137,7 +137,7 @@
 }
 
 /// A stream was taken up at another back end, or could not be.
-pub fn resumed(call: &Call, reason: &'static str, last_event: Option<u64>, found: bool) {
+pub fn stream_resumed(call: &Call, reason: &'static str, last_event: Option<u64>, found: bool) {
     tracing::info!(
         event = "stream_resumed",
         request = %call.head.request_id,
@@ -294,13 +294,13 @@
 /// New connections of callers were not simply served since the last such line. `turned_away` and `full` were closed unread, so
 /// they are part of no tenant's rate.
 pub fn connections_overflowed(counts: OverflowCounts, lateness: f64) {
-    let OverflowCounts { handed_on, unanswered, kept_here, turned_away, full } = counts;
+    let OverflowCounts { forwarded, unanswered, served_locally, rejected, full } = counts;
     tracing::info!(
         event = "connections_overflowed",
-        handed_on,
+        handed_on = forwarded,
         unanswered,
-        kept_here,
-        turned_away,
+        kept_here = served_locally,
+        turned_away = rejected,
         full,
         lateness,
     );
@@ -310,7 +310,7 @@
 pub fn not_offloaded(peer: SocketAddr, error: &OffloadError) {
     let version = match error {
         OffloadError::OtherConfiguration { peer } => Some(*peer),
-        OffloadError::Unreachable(_) | OffloadError::NoRoom | OffloadError::Silent => None,
+        OffloadError::Unreachable(_) | OffloadError::NoCapacity | OffloadError::TimedOut => None,
     };
     tracing::info!(
         event = "connection_not_offloaded",
@@ -321,7 +321,7 @@
 }
 
 /// A peer took a connection with a request and gave no answer.
-pub fn handed_on_unanswered(peer: SocketAddr, loss: Loss, waited: Duration) {
+pub fn handed_on_unanswered(peer: SocketAddr, loss: PeerFailure, waited: Duration) {
     tracing::warn!(
         event = "handed_on_unanswered",
         peer = %peer,
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -177,7 +177,7 @@
         } else {
             ticket.succeed();
             if is_delimited {
-                quarantine::note_served(&self.router, &self.call);
+                quarantine::on_served(&self.router, &self.call);
             }
         }
         Some(Ended::Answer(head, body, id))
--- a/crates/router/src/handing_on.rs
+++ b/crates/router/src/forwarding.rs
@@ -6,7 +6,9 @@
 use crate::events;
 use crate::line_budget::LineKind;
 use crate::listener::Overflowed;
-use crate::offload::{self, Copied, HandedOn, Loss, OffloadError, Offloaded};
+use crate::offload::{
+    self, CopyOutcome, ForwardedConnection, OffloadError, PeerConnection, PeerFailure,
+};
 use crate::overflow::OverflowOutcome;
 use crate::request_head::{host, parse_head};
 use crate::router::Router;
@@ -24,7 +26,7 @@
 
 /// Hands a connection to a peer of the zone, or else serves it here as far as there is room, or else hands it to a peer of another
 /// zone, or else closes it unread.
-pub(crate) async fn hand_on(router: Rc<Router>, caller: TcpStream) -> Overflowed {
+pub(crate) async fn forward_connection(router: Rc<Router>, caller: TcpStream) -> Overflowed {
     let Some(table) = router.table() else { return Overflowed::ServeHere(caller) };
     let draws = (rand::random(), rand::random());
     let in_zone = router.dispatcher.borrow().offload_targets(draws);
@@ -34,7 +36,7 @@
         }
     }
     if rand::random::<f64>() >= router.turned_away_part() {
-        router.note_overflow(OverflowOutcome::KeptHere);
+        router.note_overflow(OverflowOutcome::ServedLocally);
         return Overflowed::ServeHere(caller);
     }
     // Connections are closed unread whoever's they are, so the tenant that connects most would get most before its share is weighed.
@@ -44,13 +46,13 @@
     {
         return copy_to(&router, table, peer, offloaded, caller).await;
     }
-    router.note_overflow(OverflowOutcome::TurnedAway);
+    router.note_overflow(OverflowOutcome::Rejected);
     Overflowed::Done
 }
 
 /// Asks a peer to take a connection.
-async fn ask_peer(router: &Router, table: &RouteTable, peer: SocketAddr) -> Option<Offloaded> {
-    let asked = offload::ask(router.runtime, peer, table.version()).await;
+async fn ask_peer(router: &Router, table: &RouteTable, peer: SocketAddr) -> Option<PeerConnection> {
+    let asked = offload::connect(router.runtime, peer, table.version()).await;
     asked.map_err(|error| note_not_taken(router, peer, &error)).ok()
 }
 
@@ -59,17 +61,17 @@
     router: &Rc<Router>,
     table: Rc<RouteTable>,
     peer: SocketAddr,
-    offloaded: Offloaded,
+    offloaded: PeerConnection,
     caller: TcpStream,
 ) -> Overflowed {
-    router.note_overflow(OverflowOutcome::HandedOn);
+    router.note_overflow(OverflowOutcome::Forwarded);
     let interval = router.offload_interval();
     let handed_on = Rc::new(Agreed { router: router.clone(), table });
     let began = router.now();
     let copied = offloaded.copy(router.runtime, caller, interval, handed_on).await;
-    if let Copied::Unanswered { caller, loss, start } = copied {
-        note_unanswered(router, peer, loss, router.now().since(began));
-        tell(router, caller, &start, loss).await;
+    if let CopyOutcome::Unanswered { caller, failure, request_start } = copied {
+        note_unanswered(router, peer, failure, router.now().since(began));
+        tell(router, caller, &request_start, failure).await;
     }
     Overflowed::Done
 }
@@ -80,12 +82,12 @@
     table: Rc<RouteTable>,
 }
 
-impl HandedOn for Agreed {
+impl ForwardedConnection for Agreed {
     fn is_current(&self) -> bool {
         self.router.versions().0 == self.table.version()
     }
 
-    fn limit(&self, start: &[u8]) -> Duration {
+    fn answer_timeout(&self, start: &[u8]) -> Duration {
         let head = parse_head(start);
         head.map_or_else(|| self.longest(), |head| self.allowed(&head)) + WAY_BACK
     }
@@ -95,7 +97,7 @@
     /// Time that a request may take: none if it is malformed or has no route, since the peer refuses it at once. Bounded by the longest
     /// route, a caller of a route that had just been added had no answer after 1.5 s, on a route of 1 s.
     fn allowed(&self, head: &Parts) -> Duration {
-        let caller_head = self.router.seams.callers.read(head).ok();
+        let caller_head = self.router.dialects.callers.read(head).ok();
         let entry = self.table.route(host(head), head.uri.path());
         let both = caller_head.zip(entry);
         both.map_or(Duration::ZERO, |(head, entry)| time_allowed(&head, &entry.route))
@@ -115,7 +117,7 @@
     }
 }
 
-fn note_unanswered(router: &Router, peer: SocketAddr, loss: Loss, waited: Duration) {
+fn note_unanswered(router: &Router, peer: SocketAddr, loss: PeerFailure, waited: Duration) {
     router.note_overflow(OverflowOutcome::Unanswered);
     router.metrics.on_own_answer(answer_after(loss));
     if router.may_write_line(LineKind::Failure) {
@@ -124,15 +126,15 @@
 }
 
 /// What a caller is told whose request a peer took and did not answer. It is copied unread, so it may have run.
-fn answer_after(loss: Loss) -> OwnAnswer {
+fn answer_after(loss: PeerFailure) -> OwnAnswer {
     match loss {
-        Loss::PeerGone => OwnAnswer::UnknownOutcome,
-        Loss::PeerSilent => OwnAnswer::OutOfTime,
+        PeerFailure::Disconnected => OwnAnswer::UnknownOutcome,
+        PeerFailure::TimedOut => OwnAnswer::OutOfTime,
     }
 }
 
-async fn tell(router: &Router, mut caller: TcpStream, start: &[u8], loss: Loss) {
-    let head = parse_head(start).and_then(|head| router.seams.callers.read(&head).ok());
+async fn tell(router: &Router, mut caller: TcpStream, start: &[u8], loss: PeerFailure) {
+    let head = parse_head(start).and_then(|head| router.dialects.callers.read(&head).ok());
     let request_id = head.as_ref().map(|head| head.request_id.as_str());
     let bytes = own_answer_bytes(router, request_id, answer_after(loss));
     // A caller that has gone needs no word.
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 use crate::events;
-use crate::offload::GREETING_LENGTH;
+use crate::offload::HELLO_LENGTH;
 use crate::runtime::Runtime;
 use crate::unread::UnreadGuard;
 
@@ -88,7 +88,7 @@
     /// Time after which the next answer ends a connection, if there is any.
     pub longest_life: Option<Duration>,
     /// What is sent before anything is read, to routers that hand a connection on.
-    pub greeting: Option<[u8; GREETING_LENGTH]>,
+    pub greeting: Option<[u8; HELLO_LENGTH]>,
 }
 
 /// What became of a connection that a listener does not serve itself.
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -114,9 +114,9 @@
     /// A new connection was not simply served.
     pub fn on_overflow(&self, outcome: OverflowOutcome) {
         match outcome {
-            OverflowOutcome::HandedOn => self.offloaded.inc(),
-            OverflowOutcome::TurnedAway => self.closed_unread.inc(),
-            OverflowOutcome::Unanswered | OverflowOutcome::KeptHere => return,
+            OverflowOutcome::Forwarded => self.offloaded.inc(),
+            OverflowOutcome::Rejected => self.closed_unread.inc(),
+            OverflowOutcome::Unanswered | OverflowOutcome::ServedLocally => return,
         };
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// A back end turned a request away and asked for no more for a while.
-    pub fn on_backoff_asked(&self) {
+    pub fn on_backoff_requested(&self) {
         self.backoffs_asked.inc();
     }
 
--- a/crates/router/src/offload.rs
+++ b/crates/router/src/offload.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 /// Length of a greeting, in bytes.
-pub const GREETING_LENGTH: usize = 9;
+pub const HELLO_LENGTH: usize = 9;
 /// What a greeting begins with.
 const TAKEN: u8 = b'+';
 /// Time for a peer to take a connection: several times a round trip between machines of a zone.
@@ -38,14 +38,14 @@
 
 /// What a peer sends first on a connection that it takes: a plus sign and the version of the configuration that it serves it by,
 /// in eight bytes, the highest first.
-pub fn greeting(version: u64) -> [u8; GREETING_LENGTH] {
-    let mut greeting = [TAKEN; GREETING_LENGTH];
+pub fn hello(version: u64) -> [u8; HELLO_LENGTH] {
+    let mut greeting = [TAKEN; HELLO_LENGTH];
     greeting[1..].copy_from_slice(&version.to_be_bytes());
     greeting
 }
 
 /// The version that a greeting tells; nothing if it is none.
-fn greeted_version(greeting: [u8; GREETING_LENGTH]) -> Option<u64> {
+fn greeted_version(greeting: [u8; HELLO_LENGTH]) -> Option<u64> {
     let (first, version) = greeting.split_first()?;
     let version = version.try_into().ok().map(u64::from_be_bytes);
     version.filter(|_| *first == TAKEN)
@@ -59,10 +59,10 @@
     Unreachable(std::io::Error),
     /// It closed the connection: it has no room itself.
     #[display("no_room")]
-    NoRoom,
+    NoCapacity,
     /// It was silent.
     #[display("silent")]
-    Silent,
+    TimedOut,
     /// It has another version of the configuration in force.
     #[display("other_configuration")]
     OtherConfiguration {
@@ -72,52 +72,52 @@
 }
 
 /// A connection to a peer that has taken one of this router's callers.
-pub struct Offloaded(TcpStream);
+pub struct PeerConnection(TcpStream);
 
 /// Asks a peer to take a connection, which it must serve by version `version` of the configuration.
 ///
 /// # Errors
 /// If it does not.
-pub async fn ask(
+pub async fn connect(
     runtime: Runtime,
     peer: SocketAddr,
     version: u64,
-) -> Result<Offloaded, OffloadError> {
+) -> Result<PeerConnection, OffloadError> {
     let greeted = async {
         let mut stream = TcpStream::connect(peer).await.map_err(OffloadError::Unreachable)?;
         // A stream that refuses the option still works.
         let _ = stream.set_nodelay(true);
-        let mut greeting = [0; GREETING_LENGTH];
-        stream.read_exact(&mut greeting).await.map_err(|_| OffloadError::NoRoom)?;
+        let mut greeting = [0; HELLO_LENGTH];
+        stream.read_exact(&mut greeting).await.map_err(|_| OffloadError::NoCapacity)?;
         // A change reaches routers up to a second apart. Without this callers of one address were answered by a newer version and
         // 0.29 s later by an older one, as 85 processes with changes in series showed.
         match greeted_version(greeting) {
-            Some(peer) if peer == version => Ok(Offloaded(stream)),
+            Some(peer) if peer == version => Ok(PeerConnection(stream)),
             Some(peer) => Err(OffloadError::OtherConfiguration { peer }),
-            None => Err(OffloadError::NoRoom),
+            None => Err(OffloadError::NoCapacity),
         }
     };
-    runtime.within(GREETING_LIMIT, greeted).await.unwrap_or(Err(OffloadError::Silent))
+    runtime.within(GREETING_LIMIT, greeted).await.unwrap_or(Err(OffloadError::TimedOut))
 }
 
 /// What the router that hands a connection on knows of its requests.
-pub trait HandedOn {
+pub trait ForwardedConnection {
     /// Whether the configuration that the peer serves them by is still in force here.
     fn is_current(&self) -> bool;
 
     /// Time within which the answer to a request must have begun to come; `start` is how its bytes begin.
-    fn limit(&self, start: &[u8]) -> Duration;
+    fn answer_timeout(&self, start: &[u8]) -> Duration;
 }
 
-impl Offloaded {
+impl PeerConnection {
     /// Copies both ways until either side closes. Answers are copied at `interval` after their beginning.
     pub async fn copy(
         self,
         runtime: Runtime,
         caller: TcpStream,
         interval: Duration,
-        handed_on: Rc<dyn HandedOn>,
-    ) -> Copied {
+        handed_on: Rc<dyn ForwardedConnection>,
+    ) -> CopyOutcome {
         // A stream that refuses the option still works.
         let _ = caller.set_nodelay(true);
         // A task of its own: polled together, each piece of an answer would cost a vain read of the caller's side. With
@@ -134,7 +134,7 @@
         let requests = runtime.spawn(requests);
         let answers = async {
             match copy_answers(runtime, self.0, caller.clone(), interval, &progress).await {
-                Ok(()) | Err(BrokenSide::Peer) => Some(Loss::PeerGone),
+                Ok(()) | Err(BrokenSide::Peer) => Some(PeerFailure::Disconnected),
                 Err(BrokenSide::Caller) => None,
             }
         };
@@ -142,25 +142,27 @@
         // of a route of 1 s on 85 processes, and for as long as it stood still where that was longer.
         let silence = async {
             watch_silence(runtime, &progress, &*handed_on).await;
-            Some(Loss::PeerSilent)
+            Some(PeerFailure::TimedOut)
         };
         let loss = answers.or(silence).await;
         drop(requests);
         // Without a word each caller would see its connection close. With four requests lost so at one moment a router that is
         // well counts as one that drops requests.
         match loss.filter(|_| progress.is_answer_due()) {
-            Some(loss) => Copied::Unanswered { caller, loss, start: progress.0.start.take() },
-            None => Copied::Ended,
+            Some(failure) => {
+                CopyOutcome::Unanswered { caller, failure, request_start: progress.0.start.take() }
+            }
+            None => CopyOutcome::Ended,
         }
     }
 }
 
 /// Ends once an answer has not begun to come within its time.
-async fn watch_silence(runtime: Runtime, progress: &Progress, handed_on: &dyn HandedOn) {
+async fn watch_silence(runtime: Runtime, progress: &Progress, handed_on: &dyn ForwardedConnection) {
     loop {
         runtime.sleep(SILENCE_PERIOD).await;
         while let Some(asked) = progress.asked() {
-            let due = asked + handed_on.limit(&progress.0.start.borrow());
+            let due = asked + handed_on.answer_timeout(&progress.0.start.borrow());
             let now = runtime.now();
             if now >= due {
                 return;
@@ -172,7 +174,7 @@
 
 /// How the copying of a connection ended.
 #[derive(Debug)]
-pub enum Copied {
+pub enum CopyOutcome {
     /// By either side, and no answer was due, or it had begun.
     Ended,
     /// The peer gave no byte of an answer to a request, and the caller waits.
@@ -180,21 +182,21 @@
         /// The caller.
         caller: TcpStream,
         /// Why there was none.
-        loss: Loss,
+        failure: PeerFailure,
         /// How the bytes of the request begin.
-        start: Vec<u8>,
+        request_start: Vec<u8>,
     },
 }
 
 /// Why a peer gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Loss {
+pub enum PeerFailure {
     /// Its connection ended.
     #[display("gone")]
-    PeerGone,
+    Disconnected,
     /// It was silent for as long as the request may take.
     #[display("silent")]
-    PeerSilent,
+    TimedOut,
 }
 
 /// How far a connection that is copied unread has come.
@@ -258,7 +260,7 @@
     mut caller: TcpStream,
     mut peer: TcpStream,
     progress: Progress,
-    handed_on: Rc<dyn HandedOn>,
+    handed_on: Rc<dyn ForwardedConnection>,
 ) {
     let mut copied = Ok(Requests::GoOn);
     while let Ok(Requests::GoOn) = copied {
@@ -334,7 +336,7 @@
     caller: &mut TcpStream,
     peer: &mut TcpStream,
     progress: &Progress,
-    handed_on: &dyn HandedOn,
+    handed_on: &dyn ForwardedConnection,
 ) -> std::io::Result<Requests> {
     let (next, unwritten) = poll_fn(|context| {
         // Whatever comes while no answer is due begins a request.
--- a/crates/router/src/overflow.rs
+++ b/crates/router/src/overflow.rs
@@ -13,51 +13,51 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OverflowOutcome {
     /// A peer took it.
-    HandedOn,
+    Forwarded,
     /// A peer took it and gave no answer to a request.
     Unanswered,
     /// No peer took it, and it was served here.
-    KeptHere,
+    ServedLocally,
     /// No peer took it, and it was closed unread.
-    TurnedAway,
+    Rejected,
 }
 
 /// Connections by what became of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct OverflowCounts {
     /// Those that a peer took.
-    pub handed_on: u32,
+    pub forwarded: u32,
     /// Those that a peer took and that ended without an answer to a request.
     pub unanswered: u32,
     /// Those that no peer took and that were served here.
-    pub kept_here: u32,
+    pub served_locally: u32,
     /// Those that no peer took and that were closed unread.
-    pub turned_away: u32,
+    pub rejected: u32,
     /// Those that were closed unread since as many as may be open were open.
     pub full: u32,
 }
 
 /// The account of one router.
 #[derive(Debug, Default)]
-pub struct OverflowAccount {
+pub struct OverflowRecorder {
     counts: OverflowCounts,
     told: Timestamp,
 }
 
-impl OverflowAccount {
+impl OverflowRecorder {
     /// A connection was not simply served.
-    pub fn note(&mut self, outcome: OverflowOutcome) {
+    pub fn record(&mut self, outcome: OverflowOutcome) {
         let count = match outcome {
-            OverflowOutcome::HandedOn => &mut self.counts.handed_on,
+            OverflowOutcome::Forwarded => &mut self.counts.forwarded,
             OverflowOutcome::Unanswered => &mut self.counts.unanswered,
-            OverflowOutcome::KeptHere => &mut self.counts.kept_here,
-            OverflowOutcome::TurnedAway => &mut self.counts.turned_away,
+            OverflowOutcome::ServedLocally => &mut self.counts.served_locally,
+            OverflowOutcome::Rejected => &mut self.counts.rejected,
         };
         *count += 1;
     }
 
     /// Some connections were closed unread since as many as may be open were open.
-    pub fn note_full(&mut self, connections: u32) {
+    pub fn record_full(&mut self, connections: u32) {
         self.counts.full += connections;
     }
 
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -4,11 +4,11 @@
 use crate::catalogue::Snapshot;
 use crate::client::LocalClient;
 use crate::events;
-use crate::handing_out::LONGEST_HANDING;
-use crate::news::Origin;
 use crate::quarantine;
 use crate::router::Router;
+use crate::snapshot_serving::LONGEST_HANDING;
 use crate::snapshots::snapshot_target;
+use crate::update_signal::Origin;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::HOST;
@@ -31,14 +31,14 @@
     loop {
         send_round(&router, &socket).await;
         // A round comes early where something newer is in force.
-        let period = router.runtime.until_turn(ROUND_PERIOD);
-        let _ = router.runtime.within(period, router.news.taken()).await;
+        let period = router.runtime.until_aligned_tick(ROUND_PERIOD);
+        let _ = router.runtime.within(period, router.update_signal.notified()).await;
     }
 }
 
 async fn send_round(router: &Rc<Router>, socket: &UdpSocket) {
     let seeds = seeds(router);
-    let standing = router.standing();
+    let standing = router.phase();
     let messages = {
         let mut dispatcher = router.dispatcher.borrow_mut();
         let earlier = dispatcher.role();
@@ -120,7 +120,7 @@
     let Some(new_peer) = new_peer else { return };
     events::peer_heard(new_peer.address, router.dispatcher.borrow().routers());
     if new_peer.wants_greeting {
-        let greeting = router.dispatcher.borrow_mut().greeting(router.standing());
+        let greeting = router.dispatcher.borrow_mut().greeting(router.phase());
         send(socket, &PeerMessage::Digest(greeting), &[new_peer.address]).await;
     }
     let draining = router.dispatcher.borrow().draining_for_newcomer();
@@ -147,7 +147,7 @@
         let pause = if is_busy {
             BUSY_PAUSE.mul_f64(rand::random())
         } else {
-            router.runtime.until_turn(NEWER_PERIOD)
+            router.runtime.until_aligned_tick(NEWER_PERIOD)
         };
         router.runtime.sleep(pause).await;
         is_busy = false;
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -77,7 +77,7 @@
 }
 
 /// A request was served to its end.
-pub fn note_served(router: &Router, call: &Call) {
+pub fn on_served(router: &Router, call: &Call) {
     if !router.quarantine.borrow().is_empty() {
         router.quarantine.borrow_mut().clear(call.fingerprint());
     }
@@ -99,7 +99,7 @@
         requests.iter().filter_map(|request| quarantine.on_end(now, key, *request)).collect()
     };
     note_quarantined(router, &quarantined, "own");
-    router.news.give();
+    router.update_signal.notify();
 }
 
 /// Another router reports ends.
@@ -156,7 +156,7 @@
     let now = router.now();
     if router.quarantine.borrow_mut().on_listed(now, entry) {
         note_quarantined(router, std::slice::from_ref(entry), "archive");
-        router.news.give();
+        router.update_signal.notify();
     }
 }
 
@@ -164,7 +164,7 @@
 pub fn lift(router: &Router, request: RequestFingerprint) {
     events::quarantine_lifted(request);
     router.quarantine.borrow_mut().clear(request);
-    router.news.give();
+    router.update_signal.notify();
 }
 
 /// Forgets what no longer counts.
--- a/crates/router/src/quarantine_archive.rs
+++ b/crates/router/src/quarantine_archive.rs
@@ -28,7 +28,7 @@
 
 /// All entries of an archive.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Archived {
+pub struct ArchiveListing {
     /// The entries that can be read.
     pub entries: Vec<QuarantinedRequest>,
     /// Where changes go on from.
@@ -53,7 +53,7 @@
     type Error: Display;
 
     /// All entries.
-    async fn list(&self) -> Result<Archived, Self::Error>;
+    async fn list(&self) -> Result<ArchiveListing, Self::Error>;
 
     /// The changes after `cursor`, waited for up to `wait`; nothing if the archive no longer has them, or was restored
     /// from an older copy since.
@@ -75,7 +75,7 @@
 
 /// Keeps archive and router the same for as long as the router runs. `reader` and `writer` are two ways to the same archive, so that a
 /// write doesn't wait for a change.
-pub async fn keep_archive<A: QuarantineArchive>(router: Rc<Router>, reader: A, writer: A) {
+pub async fn sync_archive<A: QuarantineArchive>(router: Rc<Router>, reader: A, writer: A) {
     let known = Known::default();
     smol::future::zip(read(&router, &reader, &known), write(&router, &writer, &known)).await;
 }
@@ -88,7 +88,7 @@
             // What changes until it follows the source again is read then.
             cursor = None;
             known.replace(None);
-            router.runtime.sleep(router.runtime.until_turn(PERIOD)).await;
+            router.runtime.sleep(router.runtime.until_aligned_tick(PERIOD)).await;
             continue;
         }
         let result = read_once(router, archive, known, cursor).await;
@@ -142,7 +142,7 @@
 
 async fn write<A: QuarantineArchive>(router: &Router, archive: &A, known: &Known) {
     loop {
-        router.runtime.sleep(router.runtime.until_turn(PERIOD)).await;
+        router.runtime.sleep(router.runtime.until_aligned_tick(PERIOD)).await;
         if !router.is_following_source() {
             continue;
         }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -212,7 +212,7 @@
         let Some(whole) = whole else { return Ok(None) };
         if let Some(source) = &self.source {
             source.ticket.on_first_event();
-            source.connection.set_pace(self.router.gathering());
+            source.connection.set_pace(self.router.batching_interval());
         }
         self.note_pause();
         if self.events == 0 {
@@ -223,7 +223,7 @@
         let mut passed_on = BytesMut::with_capacity(whole.len());
         for event in events_of(&whole) {
             arrived += 1;
-            let number = self.router.seams.back_ends.event_number(&event);
+            let number = self.router.dialects.back_ends.event_number(&event);
             if number.is_some() && number <= self.last_event {
                 continue;
             }
@@ -272,7 +272,7 @@
             source.ticket.on_first_event();
             source.ticket.succeed();
             if source.is_delimited {
-                quarantine::note_served(&self.router, &self.call);
+                quarantine::on_served(&self.router, &self.call);
             }
             self.router.pool.keep(&source.back_end, source.connection);
             self.note(OutcomeKind::Streamed, None, Some(&source.back_end));
@@ -319,7 +319,7 @@
         self.resumes += 1;
         let left = self.call.time_left(self.router.now());
         let source = self.router.runtime.within(left, self.next_source()).await.unwrap_or_default();
-        crate::events::resumed(&self.call, reason, self.last_event, source.is_some());
+        crate::events::stream_resumed(&self.call, reason, self.last_event, source.is_some());
         self.source = source;
         self.source.is_some()
     }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -5,16 +5,16 @@
 use crate::catalogue::Catalogue;
 use crate::dialect::{BackEndDialect, CallerDialect};
 use crate::events;
-use crate::handing_out::HandingOut;
 use crate::line_budget::{LineBudget, LineKind};
 use crate::listener::{OpenConnections, StopSignal};
 use crate::metrics::RouterMetrics;
-use crate::news::{News, Origin};
-use crate::overflow::{OverflowAccount, OverflowOutcome};
+use crate::overflow::{OverflowOutcome, OverflowRecorder};
 use crate::pool::Pool;
 use crate::runtime::{COMMON_TURN, Runtime, TURN_PERIOD};
 use crate::settings::RouterSettings;
+use crate::snapshot_serving::HandingOut;
 use crate::snapshots::EncodedSnapshots;
+use crate::update_signal::{Origin, UpdateSignal};
 use mastbay_routing::{
     BackEndUpdate, Dispatcher, DispatcherLimits, EvacuatedZones, Newcomer, OutageWatch,
     OverloadGuard, PeerId, Placement, Quarantine, Refusal, Revision, RolloutRecord, Rollouts,
@@ -29,7 +29,7 @@
 use std::time::Duration;
 
 /// What callers and back ends speak.
-pub struct Seams {
+pub struct Dialects {
     /// What callers speak.
     pub callers: Box<dyn CallerDialect>,
     /// What back ends speak.
@@ -53,7 +53,7 @@
 /// A router.
 pub struct Router {
     pub(crate) settings: RouterSettings,
-    pub(crate) seams: Seams,
+    pub(crate) dialects: Dialects,
     pub(crate) runtime: Runtime,
     pub(crate) catalogue: RefCell<Catalogue>,
     pub(crate) snapshots: RefCell<EncodedSnapshots>,
@@ -66,7 +66,7 @@
     pub(crate) bodies: BodyBudget,
     pub(crate) stopping: Cell<bool>,
     overload: RefCell<OverloadGuard>,
-    overflow: RefCell<OverflowAccount>,
+    overflow: RefCell<OverflowRecorder>,
     outage: RefCell<OutageWatch>,
     /// The first list of back ends came from a source that was restored from an older copy at some time.
     began_restored: Cell<bool>,
@@ -75,7 +75,7 @@
     /// A peer has something newer but could not be asked for it.
     pub(crate) peers_fail: Cell<bool>,
     /// Given when something newer came in force here, so that peers are told at once.
-    pub(crate) news: News,
+    pub(crate) update_signal: UpdateSignal,
     pub(crate) stop: StopSignal,
     pub(crate) open: OpenConnections,
     standstill: Cell<StandstillWatch>,
@@ -86,7 +86,7 @@
     /// A router that knows neither configuration nor back ends.
     pub fn new(
         settings: RouterSettings,
-        seams: Seams,
+        dialects: Dialects,
         runtime: Runtime,
         metrics: RouterMetrics,
     ) -> Rc<Self> {
@@ -110,12 +110,12 @@
         };
         let dispatcher = Dispatcher::new(limits, me, settings.operations);
         let bodies = BodyBudget::new(settings.body_bytes());
-        let catalogue = Catalogue::new(settings.possible_orders());
+        let catalogue = Catalogue::new(settings.enabled_orders());
         let quarantine = Quarantine::new(settings.quarantine);
         Rc::new(Self {
             bodies,
             settings,
-            seams,
+            dialects,
             runtime,
             catalogue: RefCell::new(catalogue),
             snapshots: RefCell::default(),
@@ -133,7 +133,7 @@
             broken: BrokenConnections::default(),
             quarantine: RefCell::new(quarantine),
             peers_fail: Cell::new(false),
-            news: News::default(),
+            update_signal: UpdateSignal::default(),
             stop: StopSignal::default(),
             open: OpenConnections::default(),
             standstill: Cell::default(),
@@ -154,7 +154,7 @@
 
     /// Waits after a standstill until a peer or a source has told what changed meanwhile, and that is in force, for some tenths of a
     /// second at most: keys may have been taken away.
-    pub(crate) async fn until_news(&self) {
+    pub(crate) async fn wait_until_up_to_date(&self) {
         while self.awaits_news() {
             self.runtime.sleep(COMMON_TURN).await;
         }
@@ -260,7 +260,7 @@
     /// What the source told is news to peers; what a peer told is about to reach them from that one.
     fn tell_peers(&self, origin: Origin) {
         if origin == Origin::Source {
-            self.news.give();
+            self.update_signal.notify();
         }
     }
 
@@ -279,7 +279,7 @@
     pub async fn until_following_source(&self) {
         while !self.follows_source() {
             self.dispatcher.borrow_mut().on_source_contact(SourceContact::Idle);
-            self.runtime.sleep(self.runtime.until_turn(DUTY_PERIOD)).await;
+            self.runtime.sleep(self.runtime.until_aligned_tick(DUTY_PERIOD)).await;
         }
     }
 
@@ -327,7 +327,7 @@
 
     /// Whether it takes work.
     pub fn is_ready(&self) -> bool {
-        self.standing() == Standing::Serving
+        self.phase() == Standing::Serving
             && self.catalogue.borrow().is_complete()
             && !self.awaits_peers()
     }
@@ -348,7 +348,7 @@
     }
 
     /// Whether it takes new callers.
-    pub fn standing(&self) -> Standing {
+    pub fn phase(&self) -> Standing {
         if self.stopping.get() {
             Standing::Leaving
         } else if self.overload.borrow().is_shedding() {
@@ -364,14 +364,14 @@
     }
 
     /// The part of new connections that are handed to peers, if any takes them. A planned stop hands on none.
-    pub(crate) fn overflow_part(&self) -> f64 {
+    pub(crate) fn overflow_fraction(&self) -> f64 {
         if self.stopping.get() { 0.0 } else { self.overload.borrow().offloaded_part() }
     }
 
     /// A new connection was not simply served.
     pub(crate) fn note_overflow(&self, outcome: OverflowOutcome) {
         self.metrics.on_overflow(outcome);
-        self.overflow.borrow_mut().note(outcome);
+        self.overflow.borrow_mut().record(outcome);
     }
 
     /// Tells of the connections that were not simply served lately, a line a second at most.
@@ -380,21 +380,21 @@
         let full = self.open.take_refused();
         self.metrics.on_full(full);
         self.metrics.on_unread(self.open.take_unread());
-        account.note_full(full);
+        account.record_full(full);
         if let Some(counts) = account.take_due(now) {
             events::connections_overflowed(counts, self.overload.borrow().lateness());
         }
     }
 
     /// Whether it takes connections of a peer that has more to do than it carries.
-    pub(crate) fn takes_offloaded(&self) -> bool {
+    pub(crate) fn accepts_offloaded(&self) -> bool {
         self.is_ready()
             && !self.overload.borrow().is_pressed()
             && self.open.count() <= self.settings.crowded_connections()
     }
 
     /// Time for which events that follow a stream's first may be gathered, if the router is pressed.
-    pub(crate) fn gathering(&self) -> Option<Duration> {
+    pub(crate) fn batching_interval(&self) -> Option<Duration> {
         let is_pressed = self.overload.borrow().is_pressed();
         is_pressed.then(|| self.settings.event_delay.mul_f64(GATHERING_PART))
     }
@@ -406,8 +406,8 @@
 
     /// Whether answers end their connection: callers are to go elsewhere, or many connections are open.
     pub(crate) fn ends_connections(&self) -> bool {
-        self.standing() != Standing::Serving
-            || self.overflow_part() > 0.0
+        self.phase() != Standing::Serving
+            || self.overflow_fraction() > 0.0
             || self.open.count() > self.settings.crowded_connections()
     }
 
@@ -469,12 +469,11 @@
 
     /// Time until the next turn: soon while requests wait or the router is hard pressed.
     fn turn_period(&self) -> Duration {
-        let is_pressed =
-            self.overload.borrow().is_pressed() || self.standing() == Standing::Shedding;
+        let is_pressed = self.overload.borrow().is_pressed() || self.phase() == Standing::Shedding;
         if is_pressed || self.dispatcher.borrow().has_waiting() {
             TURN_PERIOD
         } else {
-            self.runtime.until_turn(COMMON_TURN)
+            self.runtime.until_aligned_tick(COMMON_TURN)
         }
     }
 
@@ -491,7 +490,7 @@
         }
         self.dispatcher.borrow_mut().on_lag(now, lag);
         self.metrics.set_backing_off(self.dispatcher.borrow().backing_off(now));
-        let most = self.settings.most_connections() as f64;
+        let most = self.settings.max_connections() as f64;
         let turn = Turn {
             period,
             lag,
--- a/crates/router/src/runtime.rs
+++ b/crates/router/src/runtime.rs
@@ -67,8 +67,8 @@
     }
 
     /// Goes on as if the machine had just been suspended for `span`. For tests.
-    pub fn go_ahead(self, span: Duration) {
-        self.limits.clock.go_ahead(span);
+    pub fn advance_clock(self, span: Duration) {
+        self.limits.clock.advance(span);
     }
 
     /// Waits for `span`, rounded to the turns.
@@ -77,7 +77,7 @@
     }
 
     /// Time until the common turn that is nearest to `span` from now, the next one at least.
-    pub fn until_turn(self, span: Duration) -> Duration {
+    pub fn until_aligned_tick(self, span: Duration) -> Duration {
         let now = self.now().since(Timestamp::ZERO);
         let turn = COMMON_TURN.as_secs_f64();
         let nearest = ((now + span).as_secs_f64() / turn).round();
--- a/crates/router/src/send.rs
+++ b/crates/router/src/send.rs
@@ -119,7 +119,7 @@
         let (head, body) = answer.into_parts();
         connection.note_headers(&head.headers);
         back_end_notices::take(self.router, self.call, &back_end.id, &head);
-        match self.router.seams.back_ends.classify(&self.call.head.request_id, &head) {
+        match self.router.dialects.back_ends.classify(&self.call.head.request_id, &head) {
             AnswerKind::Answer => Try::Answered(head, body, Box::new(connection)),
             AnswerKind::NotRunFull => Try::NotRun(Fault::Full),
             AnswerKind::NotRunReplaced => Try::NotRun(Fault::Replaced),
@@ -139,7 +139,7 @@
             tenant: call.tenant.as_deref(),
             last_event,
         };
-        let mut headers = self.router.seams.back_ends.outgoing(&call.headers, &outgoing);
+        let mut headers = self.router.dialects.back_ends.outgoing(&call.headers, &outgoing);
         keep_end_to_end(&mut headers);
         if let Some(host) = call.headers.get(HOST) {
             headers.insert(HOST, host.clone());
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -64,7 +64,7 @@
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
     let arrival = Arrival { at: router.now(), earliest: router.earliest_arrival(), way };
-    router.until_news().await;
+    router.wait_until_up_to_date().await;
     let (parts, body) = request.into_parts();
     let mut response = match accept(&router, arrival, parts, body).await {
         Ok(call) => Exchange::run(&router, Rc::new(call)).await,
@@ -103,11 +103,11 @@
     let refused = |request_id: Option<String>, answer| {
         let version = way.table(router).map_or(0, |table| table.version());
         let versions = (version, router.versions().1);
-        events::turned_away(request_id.as_deref(), answer, versions, handed_on_by);
+        events::request_turned_away(request_id.as_deref(), answer, versions, handed_on_by);
         router.metrics.on_own_answer(answer);
         Refused { request_id, answer }
     };
-    let head = router.seams.callers.read(&parts);
+    let head = router.dialects.callers.read(&parts);
     let head = head.map_err(|_| refused(None, OwnAnswer::Malformed))?;
     let table = arrival.way.table(router);
     let limits = table.map(|table| table.configuration().limits).unwrap_or_default();
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a router, in INI form, checked whole.
 
-use crate::catalogue::PossibleOrders;
+use crate::catalogue::EnabledOrders;
 use mastbay_routing::{
     BudgetLimits, ConcurrencyPolicy, ExposureLimits, FairCapacity, Policy, QuarantineLimits,
     WarmupLimits, ZoneRegions,
@@ -120,12 +120,12 @@
     }
 
     /// What an operator may order.
-    pub fn possible_orders(&self) -> PossibleOrders {
-        PossibleOrders { evacuations: self.evacuations, rollouts: self.exposure.is_some() }
+    pub fn enabled_orders(&self) -> EnabledOrders {
+        EnabledOrders { evacuations: self.evacuations, rollouts: self.exposure.is_some() }
     }
 
     /// Callers' connections that may be open at a time.
-    pub fn most_connections(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         let by_descriptors =
             self.descriptors.saturating_sub(OTHER_DESCRIPTORS) as f64 * CALLERS_PART;
         let by_memory = self.memory_megabytes as f64 * 1e6 * CALLERS_MEMORY / CONNECTION_MEMORY;
@@ -139,7 +139,7 @@
 
     /// Open connections from which on answers end their connection, so that idle ones give way.
     pub fn crowded_connections(&self) -> usize {
-        self.most_connections() / CROWDED_PART
+        self.max_connections() / CROWDED_PART
     }
 }
 
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -96,7 +96,7 @@
     let sweeping = router.clone();
     let sweep = async move {
         loop {
-            sweeping.runtime.sleep(sweeping.runtime.until_turn(SWEEP_PERIOD)).await;
+            sweeping.runtime.sleep(sweeping.runtime.until_aligned_tick(SWEEP_PERIOD)).await;
             sweeping.pool.sweep();
             quarantine::expire(&sweeping);
         }
--- a/crates/router/src/news.rs
+++ b/crates/router/src/update_signal.rs
@@ -26,24 +26,24 @@
 }
 
 /// Wakes one task; giving it again before that changes nothing.
-pub(crate) struct News(Sender<()>, Receiver<()>);
+pub(crate) struct UpdateSignal(Sender<()>, Receiver<()>);
 
-impl Default for News {
+impl Default for UpdateSignal {
     fn default() -> Self {
         let (sender, receiver) = smol::channel::bounded(1);
         Self(sender, receiver)
     }
 }
 
-impl News {
+impl UpdateSignal {
     /// Wakes the task.
-    pub(crate) fn give(&self) {
+    pub(crate) fn notify(&self) {
         // A full channel already holds the news.
         let _ = self.0.try_send(());
     }
 
     /// Waits until it is given.
-    pub(crate) async fn taken(&self) {
+    pub(crate) async fn notified(&self) {
         // The sender lives as long as the receiver.
         let _ = self.1.recv().await;
     }
--- a/crates/router/tests/handing_on.rs
+++ b/crates/router/tests/handing_on.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use mastbay_router::offload::greeting;
+use mastbay_router::offload::hello;
 use mastbay_router::{Origin, Runtime};
 use mastbay_routing::{EvacuatedZones, RoutingConfiguration};
 use smol::channel::{Receiver, Sender};
@@ -295,7 +295,7 @@
     let taking = async move {
         let mut taken = Vec::new();
         while let Ok((mut stream, _)) = listener.accept().await {
-            stream.write_all(&greeting(1)).await.expect("greeted");
+            stream.write_all(&hello(1)).await.expect("greeted");
             taken.push(stream);
         }
     };
--- a/crates/router/tests/offload.rs
+++ b/crates/router/tests/offload.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use mastbay_router::offload::{
-    Copied, GREETING_LENGTH, HandedOn, Loss, OffloadError, Offloaded, ask, greeting,
+    CopyOutcome, ForwardedConnection, HELLO_LENGTH, OffloadError, PeerConnection, PeerFailure,
+    connect, hello,
 };
 use mastbay_router::{Origin, Runtime};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
@@ -39,12 +40,12 @@
     }
 }
 
-impl HandedOn for Handing {
+impl ForwardedConnection for Handing {
     fn is_current(&self) -> bool {
         self.is_current.get()
     }
 
-    fn limit(&self, _start: &[u8]) -> Duration {
+    fn answer_timeout(&self, _start: &[u8]) -> Duration {
         self.has_request.set(true);
         self.limit
     }
@@ -53,15 +54,15 @@
 /// Copies a connection and tells the caller if no answer came. Gives why none came.
 async fn copy(
     runtime: Runtime,
-    offloaded: Offloaded,
+    offloaded: PeerConnection,
     caller: TcpStream,
     handing: Rc<Handing>,
-) -> Option<Loss> {
+) -> Option<PeerFailure> {
     match offloaded.copy(runtime, caller, INTERVAL, handing).await {
-        Copied::Ended => None,
-        Copied::Unanswered { mut caller, loss, .. } => {
+        CopyOutcome::Ended => None,
+        CopyOutcome::Unanswered { mut caller, failure, .. } => {
             caller.write_all(UNANSWERED.as_bytes()).await.expect("the caller waits");
-            Some(loss)
+            Some(failure)
         }
     }
 }
@@ -81,7 +82,7 @@
     let (listener, address) = listener().await;
     let caller = TcpStream::connect(address).await.expect("connected");
     let (accepted, _) = listener.accept().await.expect("accepted");
-    let offloaded = ask(runtime, bed.settings.digests, VERSION).await.expect("taken");
+    let offloaded = connect(runtime, bed.settings.digests, VERSION).await.expect("taken");
     runtime.spawn(copy(runtime, offloaded, accepted, handing)).detach();
     caller
 }
@@ -143,13 +144,16 @@
     run(async |runtime| {
         let (closing, address) = listener().await;
         let closes = runtime.spawn(async move { drop(closing.accept().await.expect("accepted")) });
-        assert!(matches!(ask(runtime, address, VERSION).await, Err(OffloadError::NoRoom)));
+        assert!(matches!(connect(runtime, address, VERSION).await, Err(OffloadError::NoCapacity)));
         closes.await;
 
         let (silent, address) = listener().await;
-        assert!(matches!(ask(runtime, address, VERSION).await, Err(OffloadError::Silent)));
+        assert!(matches!(connect(runtime, address, VERSION).await, Err(OffloadError::TimedOut)));
         drop(silent);
-        assert!(matches!(ask(runtime, address, VERSION).await, Err(OffloadError::Unreachable(_))));
+        assert!(matches!(
+            connect(runtime, address, VERSION).await,
+            Err(OffloadError::Unreachable(_))
+        ));
     });
 }
 
@@ -158,8 +162,8 @@
     run(async |runtime| {
         let bed = Bed::start_unconfigured(runtime).await;
         assert!(matches!(
-            ask(runtime, bed.settings.digests, VERSION).await,
-            Err(OffloadError::NoRoom)
+            connect(runtime, bed.settings.digests, VERSION).await,
+            Err(OffloadError::NoCapacity)
         ));
     });
 }
@@ -169,9 +173,9 @@
     run(async |runtime| {
         let bed = Bed::start(runtime, &[]).await;
         let mut peer = TcpStream::connect(bed.settings.digests).await.expect("connected");
-        let mut greeted = [0; GREETING_LENGTH];
+        let mut greeted = [0; HELLO_LENGTH];
         peer.read_exact(&mut greeted).await.expect("greeted");
-        assert_eq!(greeted, greeting(VERSION));
+        assert_eq!(greeted, hello(VERSION));
     });
 }
 
@@ -205,7 +209,7 @@
     run(async |runtime| {
         let bed = Bed::start(runtime, &[]).await;
         for version in [VERSION - 1, VERSION + 1] {
-            let asked = ask(runtime, bed.settings.digests, version).await;
+            let asked = connect(runtime, bed.settings.digests, version).await;
             assert!(matches!(asked, Err(OffloadError::OtherConfiguration { peer: VERSION })));
         }
     });
@@ -275,19 +279,19 @@
         let (peer, peer_address) = listener().await;
         let silent = runtime.spawn(async move {
             let (mut stream, _) = peer.accept().await.expect("accepted");
-            stream.write_all(&greeting(VERSION)).await.expect("greeted");
+            stream.write_all(&hello(VERSION)).await.expect("greeted");
             // The router closes it.
             let _ = stream.read_to_end(&mut Vec::new()).await;
         });
         let (callers, address) = listener().await;
         let mut caller = TcpStream::connect(address).await.expect("connected");
         let (accepted, _) = callers.accept().await.expect("accepted");
-        let offloaded = ask(runtime, peer_address, VERSION).await.expect("taken");
+        let offloaded = connect(runtime, peer_address, VERSION).await.expect("taken");
         let request = Request::new("/unsafe/x").kept().text();
         caller.write_all(request.as_bytes()).await.expect("sent");
         let handing = Handing::new(Duration::from_millis(100));
         let loss = copy(runtime, offloaded, accepted, handing).await;
-        assert_eq!(loss, Some(Loss::PeerSilent));
+        assert_eq!(loss, Some(PeerFailure::TimedOut));
         silent.await;
         let mut told = String::new();
         caller.read_to_string(&mut told).await.expect("closed");
@@ -303,7 +307,7 @@
         let bed = Bed::start(runtime, &[&back_end]).await;
         let (listener, address) = listener().await;
         for _ in 0..10 {
-            let offloaded = ask(runtime, bed.settings.digests, VERSION).await.expect("taken");
+            let offloaded = connect(runtime, bed.settings.digests, VERSION).await.expect("taken");
             let mut caller = std::net::TcpStream::connect(address).expect("connected");
             let request = Request::new("/safe/x").body("question");
             std::io::Write::write_all(&mut caller, request.text().as_bytes()).expect("sent");
@@ -321,7 +325,7 @@
     let (peer, peer_address) = listener().await;
     let dying = runtime.spawn(async move {
         let (mut stream, _) = peer.accept().await.expect("accepted");
-        stream.write_all(&greeting(VERSION)).await.expect("greeted");
+        stream.write_all(&hello(VERSION)).await.expect("greeted");
         let mut request = [0; 1_024];
         let length = stream.read(&mut request).await.expect("read");
         assert!(length > 0);
@@ -330,7 +334,7 @@
     let (callers, address) = listener().await;
     let mut caller = TcpStream::connect(address).await.expect("connected");
     let (accepted, _) = callers.accept().await.expect("accepted");
-    let offloaded = ask(runtime, peer_address, VERSION).await.expect("taken");
+    let offloaded = connect(runtime, peer_address, VERSION).await.expect("taken");
     let request = Request::new("/unsafe/x").kept().text();
     caller.write_all(request.as_bytes()).await.expect("sent");
     copy(runtime, offloaded, accepted, Handing::new(LIMIT)).await;
--- a/crates/router/tests/runtime.rs
+++ b/crates/router/tests/runtime.rs
@@ -31,11 +31,11 @@
 fn work_that_repeats_ends_its_sleeps_on_common_turns() {
     let runtime = Runtime::leaked();
     for span in [1_u64, 20, 29, 80, 100, 500].map(Duration::from_millis) {
-        let wait = runtime.until_turn(span);
+        let wait = runtime.until_aligned_tick(span);
         assert!(wait <= span + Duration::from_millis(20), "{wait:?} for {span:?}");
     }
     let (one, other) = (Duration::from_millis(80), Duration::from_millis(180));
-    let apart = runtime.until_turn(other).saturating_sub(runtime.until_turn(one));
+    let apart = runtime.until_aligned_tick(other).saturating_sub(runtime.until_aligned_tick(one));
     // The clock goes on between the two questions.
     let turns = apart.as_secs_f64() / 0.02;
     assert!(turns < 5.01, "{apart:?}");
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -4,7 +4,7 @@
 pub mod lists;
 
 use mastbay_router::own_dialect::OwnDialect;
-use mastbay_router::{Origin, Router, RouterMetrics, RouterSettings, Runtime, Seams};
+use mastbay_router::{Dialects, Origin, Router, RouterMetrics, RouterSettings, Runtime};
 use mastbay_routing::{
     AllowedRegions, BackEnd, BackEndId, BackEndList, BackEndState, BudgetLimits, Digest,
     EngineLimits, EvacuatedZones, Limits, PeerId, PeerMessage, QuarantineLimits, Route, RouteKind,
@@ -265,7 +265,7 @@
         let settings = RouterSettings { zone: zone.to_owned(), ..settings(&mut ports) };
         // The router's listeners stay open as long as this process runs, and so must its block.
         std::mem::forget(ports);
-        let seams = Seams { callers: Box::new(OwnDialect), back_ends: Box::new(OwnDialect) };
+        let seams = Dialects { callers: Box::new(OwnDialect), back_ends: Box::new(OwnDialect) };
         let mut registry = Registry::default();
         let metrics = RouterMetrics::register(&mut registry);
         let router = Router::new(settings.clone(), seams, runtime, metrics);
--- a/crates/router/tests/suspension.rs
+++ b/crates/router/tests/suspension.rs
@@ -31,7 +31,7 @@
         let mut caller = bed.open(&request("/unsafe/x")).await;
         until(async || silent.arrivals() == 1).await;
         let resumed = Instant::now();
-        runtime.go_ahead(DEADLINE * 2);
+        runtime.advance_clock(DEADLINE * 2);
         let mut text = Vec::new();
         caller.read_to_end(&mut text).await.expect("answered");
         assert!(text.starts_with(b"HTTP/1.1 504"), "{}", String::from_utf8_lossy(&text));
@@ -50,7 +50,7 @@
         caller.write_all(head.as_bytes()).await.expect("sent");
         // The head has been read by the time that the next caller is served.
         bed.call(&request("/unsafe/y")).await;
-        runtime.go_ahead(Duration::from_secs(4));
+        runtime.advance_clock(Duration::from_secs(4));
         caller.write_all(body.as_bytes()).await.expect("sent");
         until(async || back_end.arrivals() == 2).await;
         assert!(time_told(&back_end) <= Duration::from_secs(5), "{:?}", time_told(&back_end));
@@ -68,7 +68,7 @@
         let mut caller = std::net::TcpStream::connect(bed.settings.callers).expect("connected");
         let text = request("/unsafe/y").text();
         std::io::Write::write_all(&mut caller, text.as_bytes()).expect("sent");
-        runtime.go_ahead(Duration::from_secs(4));
+        runtime.advance_clock(Duration::from_secs(4));
         until(async || back_end.arrivals() == 2).await;
         assert!(time_told(&back_end) <= Duration::from_secs(5), "{:?}", time_told(&back_end));
     });
@@ -82,7 +82,7 @@
         bed.call(&request("/unsafe/x")).await;
         bed.call(&request("/unsafe/x")).await;
         assert_eq!(back_end.connections.get(), 1);
-        runtime.go_ahead(Duration::from_secs(60));
+        runtime.advance_clock(Duration::from_secs(60));
         // What comes right after it is taken for as old as the suspension.
         until(async || bed.call(&request("/unsafe/x")).await.status == 200).await;
         assert_eq!(back_end.connections.get(), 2);
@@ -104,7 +104,7 @@
         let mut caller =
             std::net::TcpStream::connect(suspended.settings.callers).expect("connected");
         std::io::Write::write_all(&mut caller, keyed().text().as_bytes()).expect("sent");
-        runtime.go_ahead(Duration::from_secs(4));
+        runtime.advance_clock(Duration::from_secs(4));
         let mut without_key: RoutingConfiguration = configuration(2);
         without_key.tenants[0].keys = vec!["another".to_owned()];
         peer.router.offer_configuration(without_key, Origin::Source);
