--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -1,6 +1,6 @@
 //! Connections of callers: served here, handed to a peer, or taken from one.
 
-use crate::handing_on::hand_on;
+use crate::forwarding::forward_connection;
 use crate::listener::{ListenerLimits, LocalBody, Overflow, close_unread, serve};
 use crate::offload;
 use crate::router::Router;
@@ -32,7 +32,7 @@
     let runtime = router.runtime;
     let asked = router.clone();
     let limits =
-        move || ListenerLimits { overflow_fraction: asked.overflow_part(), ..limits(&asked) };
+        move || ListenerLimits { overflow_fraction: asked.overflow_fraction(), ..limits(&asked) };
     let serving = router.clone();
     let handler = move |_| {
         let serving = serving.clone();
@@ -52,9 +52,9 @@
     let asked = router.clone();
     let limits = move || ListenerLimits {
         idle_timeout: OFFLOADED_IDLE,
-        overflow_fraction: if asked.takes_offloaded() { 0.0 } else { 1.0 },
+        overflow_fraction: if asked.accepts_offloaded() { 0.0 } else { 1.0 },
         max_age: Some(OFFLOADED_LIFE),
-        hello: Some(offload::greeting(asked.versions().0)),
+        hello: Some(offload::hello(asked.versions().0)),
         ..limits(&asked)
     };
     let serving = router.clone();
@@ -82,7 +82,7 @@
 fn limits(router: &Router) -> ListenerLimits {
     let configured = router.table().map(|table| table.configuration().limits).unwrap_or_default();
     ListenerLimits {
-        max_connections: router.settings.most_connections(),
+        max_connections: router.settings.max_connections(),
         head_bytes: configured.head_bytes,
         idle_timeout: configured.idle_time,
         overflow_fraction: 0.0,
@@ -93,5 +93,5 @@
 
 fn overflow(router: &Rc<Router>) -> Overflow {
     let router = router.clone();
-    Rc::new(move |caller| Box::pin(hand_on(router.clone(), caller)))
+    Rc::new(move |caller| Box::pin(forward_connection(router.clone(), caller)))
 }
