--- a/crates/router/src/back_end_notices.rs
+++ b/crates/router/src/back_end_notices.rs
@@ -41,7 +41,7 @@
 pub fn take_told(router: &Router, told: &[BackEndId], sender: SocketAddr) {
     let now = router.now();
     for id in told {
-        if router.dispatcher.borrow_mut().on_draining_told(now, id) {
+        if router.dispatcher.borrow_mut().on_draining_reported(now, id) {
             events::back_end_draining(id, None, &sender.to_string());
         }
     }
--- a/crates/router/src/broken_connections.rs
+++ b/crates/router/src/broken_connections.rs
@@ -73,7 +73,7 @@
 async fn examine(router: Rc<Router>, back_end: BackEnd) {
     let is_refused = is_refused_twice(&router, &back_end).await;
     let Some(broken) = router.broken.take(&back_end.id) else { return };
-    let was_heard = router.dispatcher.borrow().has_heard_since(&back_end.id, broken.since);
+    let was_heard = router.dispatcher.borrow().has_responded_since(&back_end.id, broken.since);
     if is_refused && !was_heard {
         quarantine::on_back_end_ended(&router, &back_end, &broken.requests);
     }
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -6,8 +6,8 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
 use mastbay_routing::{
-    AllowedRegions, Considered, Demand, LeftOutBackEnds, Placement, Refusal, RequestFingerprint,
-    RequestIdentity, TableEntry,
+    AllowedRegions, Demand, ExcludedBackEnds, Placement, Refusal, RefusalDetails,
+    RequestFingerprint, RequestIdentity, TableEntry,
 };
 use mastbay_types::Timestamp;
 use std::cell::{OnceCell, RefCell};
@@ -71,9 +71,9 @@
     /// Times that it was handed to a back end.
     pub sends: u32,
     /// What decided against it, if it was refused.
-    pub considered: Option<Considered>,
+    pub considered: Option<RefusalDetails>,
     /// Back ends that were not chosen from when it was placed last or refused.
-    pub left_out: LeftOutBackEnds,
+    pub left_out: ExcludedBackEnds,
     /// When its caller was told to come back.
     pub retry_after: Option<Duration>,
 }
@@ -104,16 +104,16 @@
         trace.running = placement.running;
         trace.limit = placement.limit;
         trace.uncached = placement.uncached;
-        trace.age = placement.age;
-        trace.left_out = placement.left_out;
+        trace.age = placement.stats_age;
+        trace.left_out = placement.excluded;
         trace.sends += 1;
     }
 
     /// It was refused.
     pub fn note_refusal(&self, refusal: &Refusal) {
         let mut trace = self.trace.borrow_mut();
-        trace.considered = refusal.considered.clone();
-        trace.left_out = refusal.left_out;
+        trace.considered = refusal.details.clone();
+        trace.left_out = refusal.excluded;
         trace.retry_after = Some(refusal.retry_after);
     }
 
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -10,9 +10,9 @@
 use crate::unread::UNREAD_LIMIT;
 use hyper::StatusCode;
 use mastbay_routing::{
-    BackEnd, BackEndDirectory, BackEndId, Considered, EngineKey, EvacuatedZones, Fault, Placement,
-    QuarantinedRequest, RequestFingerprint, Revision, Role, RolloutRecord, Rollouts, RouteTable,
-    Turn, UsableChanges,
+    BackEnd, BackEndDirectory, BackEndId, EngineKey, EvacuatedZones, Fault, Placement,
+    QuarantinedRequest, RefusalDetails, RequestFingerprint, Revision, Role, RolloutRecord,
+    Rollouts, RouteTable, Turn, UsableChanges,
 };
 use mastbay_types::Timestamp;
 use std::collections::BTreeSet;
@@ -61,7 +61,7 @@
     );
 }
 
-fn refused(call: &Call, outcome: &Outcome, considered: &Considered, now: Timestamp) {
+fn refused(call: &Call, outcome: &Outcome, considered: &RefusalDetails, now: Timestamp) {
     let trace = call.trace.borrow();
     let prompt = call.head.prompt.as_ref();
     tracing::info!(
@@ -84,7 +84,7 @@
         tenant_asked = considered.asked as u64,
         tenant_given = considered.given as u64,
         rates_age_ms = milliseconds(considered.rates_age),
-        fair_level = considered.level.map(|level| level as u64),
+        fair_level = considered.fair_level.map(|level| level as u64),
         prompt_tokens = prompt.map_or(0, |prompt| prompt.input_tokens),
         retry_after_ms = trace.retry_after.map_or(0, milliseconds),
         draining = trace.left_out.draining,
@@ -131,7 +131,7 @@
         reason,
         predicted_ms = placement.predicted.as_millis() as u64,
         running = placement.running,
-        age_ms = placement.age.as_millis() as u64,
+        age_ms = placement.stats_age.as_millis() as u64,
         fingerprint = call.fingerprint.get().map(|fingerprint| fingerprint.to_string()),
     );
 }
--- a/crates/router/src/handing_on.rs
+++ b/crates/router/src/handing_on.rs
@@ -38,7 +38,7 @@
         return Overflowed::ServeHere(caller);
     }
     // Connections are closed unread whoever's they are, so the tenant that connects most would get most before its share is weighed.
-    let elsewhere = router.dispatcher.borrow().offload_target_elsewhere(rand::random());
+    let elsewhere = router.dispatcher.borrow().cross_zone_offload_target(rand::random());
     if let Some(peer) = elsewhere
         && let Some(offloaded) = ask_peer(&router, &table, peer).await
     {
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -48,7 +48,7 @@
         }
         messages
     };
-    router.judge_rollouts();
+    router.evaluate_rollouts();
     for Outgoing { message, targets } in
         messages.into_iter().chain(quarantine::next_messages(router))
     {
@@ -112,18 +112,18 @@
     if let PeerMessage::Draining(told) = &message {
         return back_end_notices::take_told(router, told, sender);
     }
-    let passed_on = router.dispatcher.borrow().passed_on(&message);
+    let passed_on = router.dispatcher.borrow().relayed_message(&message);
     if let Some(Outgoing { message, targets }) = passed_on {
         send(socket, &message, &targets).await;
     }
     let new_peer = router.dispatcher.borrow_mut().on_message(router.now(), message);
     let Some(new_peer) = new_peer else { return };
     events::peer_heard(new_peer.address, router.dispatcher.borrow().routers());
-    if new_peer.wants_greeting {
-        let greeting = router.dispatcher.borrow_mut().greeting(router.standing());
+    if new_peer.needs_hello {
+        let greeting = router.dispatcher.borrow_mut().hello(router.standing());
         send(socket, &PeerMessage::Digest(greeting), &[new_peer.address]).await;
     }
-    let draining = router.dispatcher.borrow().draining_for_newcomer();
+    let draining = router.dispatcher.borrow().draining_for_new_peer();
     for message in quarantine::message_for_newcomer(router).into_iter().chain(draining) {
         send(socket, &message, &[new_peer.address]).await;
     }
@@ -155,7 +155,7 @@
         if hears_nobody && !router.catalogue.borrow().is_complete() {
             ask_seeds(&router).await;
         }
-        let newer = router.dispatcher.borrow().newer_elsewhere(router.now(), rand::random());
+        let newer = router.dispatcher.borrow().newer_snapshot_address(router.now(), rand::random());
         if newer.is_none() {
             continue;
         }
@@ -163,7 +163,7 @@
             // The own source is usually about to tell the same.
             router.runtime.sleep(NEWER_PERIOD).await;
         }
-        let still = router.dispatcher.borrow().newer_elsewhere(router.now(), rand::random());
+        let still = router.dispatcher.borrow().newer_snapshot_address(router.now(), rand::random());
         let Some(address) = still else { continue };
         match fetch_snapshot(&router, address).await {
             Fetched::Taken => router.peers_fail.set(false),
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -134,7 +134,7 @@
         messages.push(Outgoing { message: PeerMessage::Ends(reports), targets });
     }
     if !reminder.is_empty() {
-        let targets = dispatcher.some_peer(rand::random()).into_iter().collect();
+        let targets = dispatcher.random_peer(rand::random()).into_iter().collect();
         messages.push(Outgoing { message: PeerMessage::Ends(reminder), targets });
     }
     messages
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -230,8 +230,8 @@
     }
 
     /// Judges roll-outs by what the fleet has counted. Gives the states that are to be recorded at the source.
-    pub fn judge_rollouts(&self) -> Vec<RolloutRecord> {
-        self.dispatcher.borrow_mut().judge_rollouts(self.now())
+    pub fn evaluate_rollouts(&self) -> Vec<RolloutRecord> {
+        self.dispatcher.borrow_mut().evaluate_rollouts(self.now())
     }
 
     fn watch_standstill(&self, now: Timestamp) {
@@ -496,7 +496,7 @@
             period,
             lag,
             connections: self.open.count() as f64 / most,
-            others: self.dispatcher.borrow().others(),
+            others: self.dispatcher.borrow().peer_capacity(),
         };
         let changed = self.overload.borrow_mut().on_turn(now, turn);
         if let Some(shedding) = changed {
--- a/crates/routing/src/dispatch/admission.rs
+++ b/crates/routing/src/dispatch/admission.rs
@@ -2,7 +2,9 @@
 
 use super::Dispatcher;
 use super::fair_level::ShareClass;
-use super::messages::{Admission, Considered, Demand, Refusal, RefusalReason, TicketId, Verdicts};
+use super::messages::{
+    Admission, AdmissionResults, Demand, Refusal, RefusalDetails, RefusalReason, TicketId,
+};
 use crate::engine::Engine;
 use crate::waiting::{Waiter, WaitingQueue};
 use mastbay_types::Timestamp;
@@ -55,7 +57,7 @@
     }
 
     /// Lets waiters in where there is room and gives up those whose time is over.
-    pub fn poll(&mut self, now: Timestamp, draw: f64) -> Verdicts {
+    pub fn poll(&mut self, now: Timestamp, draw: f64) -> AdmissionResults {
         let mut verdicts = Vec::new();
         let services: Vec<String> = self.waiting.keys().cloned().collect();
         for service in services {
@@ -71,7 +73,7 @@
         !self.waiting.is_empty()
     }
 
-    fn let_in(&mut self, now: Timestamp, service: &str, verdicts: &mut Verdicts) {
+    fn let_in(&mut self, now: Timestamp, service: &str, verdicts: &mut AdmissionResults) {
         let shares = self.shares(now);
         let Some(queue) = self.waiting.get_mut(service) else { return };
         let mut left = Vec::new();
@@ -95,7 +97,13 @@
         }
     }
 
-    fn give_up(&mut self, now: Timestamp, service: &str, draw: f64, verdicts: &mut Verdicts) {
+    fn give_up(
+        &mut self,
+        now: Timestamp,
+        service: &str,
+        draw: f64,
+        verdicts: &mut AdmissionResults,
+    ) {
         let Some(queue) = self.waiting.get_mut(service) else { return };
         let expired = queue.take_expired(now);
         for waiter in expired {
@@ -122,8 +130,8 @@
         let left = demand.deadline.since(now).mul_f64(RETRY_AFTER_PART);
         let usual = left.min(LONGEST_RETRY_AFTER).mul_f64(0.5 + 0.5 * draw);
         let retry_after = self.until_backoff_ends(now, demand, draw).unwrap_or(usual);
-        let left_out = self.left_out(now, &demand.service);
-        Refusal { reason, retry_after, considered: self.consider(now, demand), left_out }
+        let excluded = self.excluded(now, &demand.service);
+        Refusal { reason, retry_after, details: self.consider(now, demand), excluded }
     }
 
     /// Time until a back end that may serve a demand takes requests again, if all of them want none now: the first moment for callers to
@@ -139,14 +147,14 @@
         Some(left + spread.mul_f64(draw))
     }
 
-    fn consider(&mut self, now: Timestamp, demand: &Demand) -> Option<Considered> {
+    fn consider(&mut self, now: Timestamp, demand: &Demand) -> Option<RefusalDetails> {
         let shares = self.shares(now);
         let tenant = demand.tenant.as_deref().unwrap_or_default();
         let rates_age = self.fleet.rates_age(now);
         let weighed = self.first_choice(now, demand)?;
         let engine = self.engines.get(&weighed.id)?;
         let load = engine.load();
-        Some(Considered {
+        Some(RefusalDetails {
             back_end: weighed.id,
             running: load.running,
             limit: self.concurrency_limit(now, engine).round() as u32,
@@ -155,7 +163,7 @@
             asked: shares.asked(tenant),
             given: shares.given(tenant),
             rates_age,
-            level: shares.level.is_finite().then_some(shares.level),
+            fair_level: shares.level.is_finite().then_some(shares.level),
         })
     }
 
--- a/crates/routing/src/dispatch/announced.rs
+++ b/crates/routing/src/dispatch/announced.rs
@@ -1,7 +1,7 @@
 //! What back ends said of themselves in their answers.
 
 use super::Dispatcher;
-use super::messages::LeftOutBackEnds;
+use super::messages::ExcludedBackEnds;
 use crate::back_end::BackEndId;
 use crate::digest::{Outgoing, PeerMessage};
 use crate::engine::Engine;
@@ -21,13 +21,13 @@
     }
 
     /// Another router tells of a back end that said so. Gives whether that is new.
-    pub fn on_draining_told(&mut self, now: Timestamp, id: &BackEndId) -> bool {
+    pub fn on_draining_reported(&mut self, now: Timestamp, id: &BackEndId) -> bool {
         let tellings = if self.relaying() == Relaying::All { TELLINGS } else { 0 };
         self.take_draining(now, id, tellings)
     }
 
     /// What a router must know that has just come: the listed back ends that said that they end soon, as many as one message holds.
-    pub fn draining_for_newcomer(&self) -> Option<PeerMessage> {
+    pub fn draining_for_new_peer(&self) -> Option<PeerMessage> {
         let draining = self.announcements.draining();
         let listed = draining.filter(|id| self.engines.get(id).is_some());
         let told: Vec<BackEndId> = listed.take(MOST_PER_MESSAGE).cloned().collect();
@@ -67,11 +67,11 @@
     }
 
     /// The back ends of a service that are in no choice now for what they said of themselves.
-    pub(super) fn left_out(&self, now: Timestamp, service: &str) -> LeftOutBackEnds {
+    pub(super) fn excluded(&self, now: Timestamp, service: &str) -> ExcludedBackEnds {
         let backing_off = self.announcements.backing_off(now);
         let engines = backing_off.filter_map(|id| self.engines.get(id));
         let of_service = engines.filter(|engine| engine.back_end.service == service);
-        LeftOutBackEnds {
+        ExcludedBackEnds {
             draining: self.draining_listed.get(service).copied().unwrap_or_default(),
             backing_off: of_service.count() as u32,
         }
--- a/crates/routing/src/dispatch/fleet/mod.rs
+++ b/crates/routing/src/dispatch/fleet/mod.rs
@@ -82,7 +82,7 @@
     /// Its digest address.
     pub address: SocketAddr,
     /// Whether it is to be greeted: it may not know this router.
-    pub wants_greeting: bool,
+    pub needs_hello: bool,
 }
 
 #[derive(Debug)]
@@ -274,7 +274,7 @@
 
     /// Notes that a router was heard for the first time.
     fn note_new_peer(&mut self, now: Timestamp, address: SocketAddr) -> NewPeer {
-        NewPeer { address, wants_greeting: self.greeted.insert(address, now).is_none() }
+        NewPeer { address, needs_hello: self.greeted.insert(address, now).is_none() }
     }
 
     /// Notes a peer's state. Gives whether it was not known; nothing if the state is no news.
--- a/crates/routing/src/dispatch/fleet/rounds.rs
+++ b/crates/routing/src/dispatch/fleet/rounds.rs
@@ -104,7 +104,7 @@
     }
 
     /// The answer to a router that was not known.
-    pub fn greeting(&mut self, own: OwnState) -> Digest {
+    pub fn hello(&mut self, own: OwnState) -> Digest {
         self.heartbeat(own, PEERS_FOR_NEWCOMERS)
     }
 
@@ -183,8 +183,8 @@
         let later = targets.split_off(targets.len().min(GREETINGS_PER_ROUND));
         self.mentioned = later.into_iter().collect();
         self.greeted.extend(targets.iter().map(|target| (*target, now)));
-        let greeting = self.greeting(own.clone());
-        Some(self.outgoing(PeerMessage::Digest(greeting), targets))
+        let hello = self.hello(own.clone());
+        Some(self.outgoing(PeerMessage::Digest(hello), targets))
     }
 
     fn calls_seeds(&self) -> bool {
--- a/crates/routing/src/dispatch/fleet/view.rs
+++ b/crates/routing/src/dispatch/fleet/view.rs
@@ -53,7 +53,8 @@
         }
         let draws =
             (0..GOSSIP_TARGETS).map(|number| stable_hash(&[&draw.to_be_bytes(), &[number]]));
-        let mut targets: Vec<SocketAddr> = draws.filter_map(|draw| self.some_peer(draw)).collect();
+        let mut targets: Vec<SocketAddr> =
+            draws.filter_map(|draw| self.random_peer(draw)).collect();
         targets.sort_unstable();
         targets.dedup();
         targets
@@ -70,7 +71,7 @@
     }
 
     /// One peer, drawn.
-    pub fn some_peer(&self, draw: u64) -> Option<SocketAddr> {
+    pub fn random_peer(&self, draw: u64) -> Option<SocketAddr> {
         let place = draw.checked_rem(self.peers.len() as u64)?;
         self.peers.keys().nth(place as usize).copied()
     }
@@ -135,7 +136,7 @@
     }
 
     /// What is known of the peers beside this router.
-    pub fn others(&self) -> Others {
+    pub fn peer_capacity(&self) -> Others {
         self.others
     }
 
@@ -176,7 +177,7 @@
 
     /// A peer of another zone that may take a connection off this router: one drawn by processor among those whose zone
     /// `is_near`.
-    pub fn offload_target_elsewhere(
+    pub fn cross_zone_offload_target(
         &self,
         own: &OwnState,
         is_near: impl Fn(&str) -> bool,
--- a/crates/routing/src/dispatch/messages.rs
+++ b/crates/routing/src/dispatch/messages.rs
@@ -82,7 +82,7 @@
 
 /// How many back ends of a service were in no choice for what they said of themselves in answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct LeftOutBackEnds {
+pub struct ExcludedBackEnds {
     /// They end soon.
     pub draining: u32,
     /// They want no requests of this router for a while.
@@ -105,9 +105,9 @@
     /// Prompt tokens that it has to read for this request.
     pub uncached: u64,
     /// Age of the oldest figure that was used, zero if there are no peers.
-    pub age: Duration,
+    pub stats_age: Duration,
     /// Back ends of the service that were not chosen from.
-    pub left_out: LeftOutBackEnds,
+    pub excluded: ExcludedBackEnds,
 }
 
 /// A request that is not served now.
@@ -118,14 +118,14 @@
     /// When to come back.
     pub retry_after: Duration,
     /// What was known, if any back end came into question.
-    pub considered: Option<Considered>,
+    pub details: Option<RefusalDetails>,
     /// Back ends of the service that were not chosen from.
-    pub left_out: LeftOutBackEnds,
+    pub excluded: ExcludedBackEnds,
 }
 
 /// What decided against a request: its first back end as it was known, and its tenant's share.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Considered {
+pub struct RefusalDetails {
     /// The back end that comes first for the request.
     pub back_end: BackEndId,
     /// Requests known to be there.
@@ -143,7 +143,7 @@
     /// Time since the oldest of the rates that count was told to this router.
     pub rates_age: Duration,
     /// The fair level, in tokens a second; none if all can be served.
-    pub level: Option<f64>,
+    pub fair_level: Option<f64>,
 }
 
 impl Refusal {
@@ -152,8 +152,8 @@
         Self {
             reason: RefusalReason::Stopping,
             retry_after: Duration::ZERO,
-            considered: None,
-            left_out: LeftOutBackEnds::default(),
+            details: None,
+            excluded: ExcludedBackEnds::default(),
         }
     }
 }
@@ -194,7 +194,7 @@
 }
 
 /// Decisions on requests that waited.
-pub type Verdicts = Vec<(TicketId, Result<Placement, Refusal>)>;
+pub type AdmissionResults = Vec<(TicketId, Result<Placement, Refusal>)>;
 
 /// The answer to a request for admission.
 #[derive(Debug)]
--- a/crates/routing/src/dispatch/mod.rs
+++ b/crates/routing/src/dispatch/mod.rs
@@ -55,8 +55,8 @@
 pub use aggregation::Role;
 pub use fleet::{HEAVIEST_TENANTS, NewPeer, ROUND_PERIOD};
 pub use messages::{
-    Admission, Considered, Demand, DispatcherLimits, LeftOutBackEnds, Placement, Refusal,
-    RefusalReason, TicketId, Verdicts,
+    Admission, AdmissionResults, Demand, DispatcherLimits, ExcludedBackEnds, Placement, Refusal,
+    RefusalDetails, RefusalReason, TicketId,
 };
 
 /// A request that a back end works on.
@@ -231,7 +231,7 @@
     }
 
     /// Whether an event or an answer of a back end came after a moment.
-    pub fn has_heard_since(&self, id: &BackEndId, since: Timestamp) -> bool {
+    pub fn has_responded_since(&self, id: &BackEndId, since: Timestamp) -> bool {
         self.engines.get(id).is_some_and(|engine| engine.heard > since)
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// How many back ends were looked at until now, for requests and for messages.
-    pub fn engines_looked_at(&self) -> u64 {
+    pub fn engines_examined(&self) -> u64 {
         self.engines.looked_at()
     }
 
@@ -273,8 +273,8 @@
     }
 
     /// One peer, drawn.
-    pub fn some_peer(&self, draw: u64) -> Option<SocketAddr> {
-        self.fleet.some_peer(draw)
+    pub fn random_peer(&self, draw: u64) -> Option<SocketAddr> {
+        self.fleet.random_peer(draw)
     }
 
     /// Whether this router passes on what others report of ends.
@@ -406,7 +406,7 @@
             None => self.best(now, demand, &terms)?,
         };
         let release = self.note_release(demand, &weighed);
-        let age = self.fleet.oldest_age(now);
+        let stats_age = self.fleet.oldest_age(now);
         let accountable = self.accountable(demand, class, weighed.uncached);
         let Weighed { id, predicted, uncached, work_ahead, .. } = weighed;
         let load = demand.load(uncached, class);
@@ -436,7 +436,16 @@
             release,
         };
         self.running.insert(ticket, entry);
-        let left_out = self.left_out(now, &demand.service);
-        Some(Placement { ticket, back_end, predicted, running, limit, uncached, age, left_out })
+        let excluded = self.excluded(now, &demand.service);
+        Some(Placement {
+            ticket,
+            back_end,
+            predicted,
+            running,
+            limit,
+            uncached,
+            stats_age,
+            excluded,
+        })
     }
 }
--- a/crates/routing/src/dispatch/peers.rs
+++ b/crates/routing/src/dispatch/peers.rs
@@ -17,7 +17,7 @@
             PeerMessage::Sum(sum) | PeerMessage::SumForZone(sum) => self.on_sum(now, sum),
             PeerMessage::Draining(told) => {
                 for id in &told {
-                    self.on_draining_told(now, id);
+                    self.on_draining_reported(now, id);
                 }
                 None
             }
@@ -26,7 +26,7 @@
     }
 
     /// What this router passes on of a message that has come.
-    pub fn passed_on(&self, message: &PeerMessage) -> Option<Outgoing> {
+    pub fn relayed_message(&self, message: &PeerMessage) -> Option<Outgoing> {
         match message {
             PeerMessage::SumForZone(sum) => self
                 .fleet
@@ -93,9 +93,9 @@
     }
 
     /// The answer to a router that was not known before.
-    pub fn greeting(&mut self, standing: Standing) -> Digest {
+    pub fn hello(&mut self, standing: Standing) -> Digest {
         let own = self.own_state(standing);
-        self.fleet.greeting(own)
+        self.fleet.hello(own)
     }
 
     pub(super) fn own_state(&self, standing: Standing) -> OwnState {
--- a/crates/routing/src/dispatch/releases.rs
+++ b/crates/routing/src/dispatch/releases.rs
@@ -29,7 +29,7 @@
     }
 
     /// Judges roll-outs by what the fleet counted. Gives the states that are to be recorded.
-    pub fn judge_rollouts(&mut self, now: Timestamp) -> Vec<RolloutRecord> {
+    pub fn evaluate_rollouts(&mut self, now: Timestamp) -> Vec<RolloutRecord> {
         if self.rollouts.is_empty() {
             return Vec::new();
         }
--- a/crates/routing/src/dispatch/source.rs
+++ b/crates/routing/src/dispatch/source.rs
@@ -34,8 +34,8 @@
     }
 
     /// What is known of the other routers.
-    pub fn others(&self) -> Others {
-        self.fleet.others()
+    pub fn peer_capacity(&self) -> Others {
+        self.fleet.peer_capacity()
     }
 
     /// Peers, by their digest addresses, that may take connections off this router, the first choice first. `draws`,
@@ -47,14 +47,14 @@
     /// A peer of another zone, by its digest address, that may take a connection that would else be closed unread: what passes
     /// between zones costs. It is of the same region, where round trips are short, and its zone is not evacuated. `draw`, uniform
     /// in 0..1, spreads the choice.
-    pub fn offload_target_elsewhere(&self, draw: f64) -> Option<SocketAddr> {
+    pub fn cross_zone_offload_target(&self, draw: f64) -> Option<SocketAddr> {
         let own = self.own_state(Standing::Serving);
         let region = self.limits.regions.of(&own.zone)?;
         let is_near = |zone: &str| {
             let is_in_region = self.limits.regions.of(zone).as_ref() == Some(&region);
             is_in_region && !self.evacuated.zones.contains(zone)
         };
-        self.fleet.offload_target_elsewhere(&own, is_near, draw)
+        self.fleet.cross_zone_offload_target(&own, is_near, draw)
     }
 
     /// Whether any peer has told of a newer configuration or newer back ends.
@@ -66,7 +66,7 @@
     /// member waits a while for one of its zone.
     ///
     /// `draw`, uniform in 0..1, picks one, so that not all ask the same.
-    pub fn newer_elsewhere(&self, now: Timestamp, draw: f64) -> Option<SocketAddr> {
+    pub fn newer_snapshot_address(&self, now: Timestamp, draw: f64) -> Option<SocketAddr> {
         self.fleet.newer_than(now, &self.own_state(Standing::Serving), draw)
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -53,8 +53,9 @@
 };
 pub use directory::{BackEndDirectory, BackEndUpdate, UsableChanges};
 pub use dispatch::{
-    Admission, Considered, Demand, Dispatcher, DispatcherLimits, HEAVIEST_TENANTS, LeftOutBackEnds,
-    NewPeer, Placement, ROUND_PERIOD, Refusal, RefusalReason, Role, TicketId, Verdicts,
+    Admission, AdmissionResults, Demand, Dispatcher, DispatcherLimits, ExcludedBackEnds,
+    HEAVIEST_TENANTS, NewPeer, Placement, ROUND_PERIOD, Refusal, RefusalDetails, RefusalReason,
+    Role, TicketId,
 };
 pub use engine::Load;
 pub use evacuation::EvacuatedZones;
--- a/crates/routing/tests/announcements.rs
+++ b/crates/routing/tests/announcements.rs
@@ -4,7 +4,7 @@
 
 use mastbay_routing::{
     Admission, BackEnd, BackEndDirectory, BackEndId, BackEndList, BackEndState, Dispatcher,
-    EvacuatedZones, Fault, LeftOutBackEnds, Placement, Refusal, RefusalReason, Revision,
+    EvacuatedZones, ExcludedBackEnds, Fault, Placement, Refusal, RefusalReason, Revision,
     UsableChanges,
 };
 use mastbay_types::Timestamp;
@@ -94,7 +94,7 @@
                 self.dispatcher.on_draining(now, &id(*name, *life));
             }
             Heard::Draining { name, life } => {
-                self.dispatcher.on_draining_told(now, &id(*name, *life));
+                self.dispatcher.on_draining_reported(now, &id(*name, *life));
             }
             Heard::Backoff { name, life, tenths } => {
                 let backoff = Duration::from_millis(u64::from(*tenths) * 100);
@@ -371,11 +371,11 @@
     let mut router = after_backoff_of_first(4);
     router.on_draining(at(0), &BackEndId::from("e1"));
     router.on_draining(at(0), &BackEndId::from("e2"));
-    let left_out = place(&mut router, at(100), 1).expect("the last one serves").left_out;
-    assert_eq!(left_out, LeftOutBackEnds { draining: 2, backing_off: 1 });
+    let left_out = place(&mut router, at(100), 1).expect("the last one serves").excluded;
+    assert_eq!(left_out, ExcludedBackEnds { draining: 2, backing_off: 1 });
     let mut listed = list(2, 4, 8);
     listed.back_ends.remove(1);
     router.on_back_ends(at(3_500), &listed);
-    let left_out = place(&mut router, at(3_500), 2).expect("served").left_out;
-    assert_eq!(left_out, LeftOutBackEnds { draining: 1, backing_off: 0 });
+    let left_out = place(&mut router, at(3_500), 2).expect("served").excluded;
+    assert_eq!(left_out, ExcludedBackEnds { draining: 1, backing_off: 0 });
 }
--- a/crates/routing/tests/dispatcher.rs
+++ b/crates/routing/tests/dispatcher.rs
@@ -337,10 +337,10 @@
     let mut fleet = vec![dispatcher(1, 1, 1), dispatcher(2, 1, 1)];
     fleet[0].on_back_ends(Timestamp::ZERO, &list(9, 1, 1));
     exchange_digests(at(0), &mut fleet);
-    assert_eq!(fleet[1].newer_elsewhere(at(1), 0.5), Some(support::address(1)));
-    assert_eq!(fleet[0].newer_elsewhere(at(1), 0.5), None);
+    assert_eq!(fleet[1].newer_snapshot_address(at(1), 0.5), Some(support::address(1)));
+    assert_eq!(fleet[0].newer_snapshot_address(at(1), 0.5), None);
     fleet[1].on_back_ends(Timestamp::ZERO, &list(9, 1, 1));
-    assert_eq!(fleet[1].newer_elsewhere(at(2), 0.5), None);
+    assert_eq!(fleet[1].newer_snapshot_address(at(2), 0.5), None);
 }
 
 #[test]
@@ -372,7 +372,7 @@
     wait(&mut fleet[1], at(100), "t", 3);
     let verdicts = fleet[1].poll(at(250), 0.5);
     let refusal = verdicts[0].1.as_ref().expect_err("refused");
-    let considered = refusal.considered.as_ref().expect("an engine came into question");
+    let considered = refusal.details.as_ref().expect("an engine came into question");
     assert!(considered.asked > 0.0, "asked for at the other router");
     assert_eq!(considered.rates_age, Duration::from_millis(250));
 }
--- a/crates/routing/tests/growth.rs
+++ b/crates/routing/tests/growth.rs
@@ -32,9 +32,9 @@
 
 /// Back ends looked at by what `work` does.
 fn looks(router: &mut Dispatcher, work: impl FnOnce(&mut Dispatcher)) -> u64 {
-    let before = router.engines_looked_at();
+    let before = router.engines_examined();
     work(router);
-    router.engines_looked_at() - before
+    router.engines_examined() - before
 }
 
 fn admit_all(router: &mut Dispatcher, is_plain: bool) {
--- a/crates/routing/tests/large_fleet.rs
+++ b/crates/routing/tests/large_fleet.rs
@@ -187,7 +187,7 @@
 /// Right after a start, a router knows few of the others; it must not take the fleet's budget for that of a few.
 #[test]
 fn a_newcomer_takes_its_part_of_the_budget_of_the_whole_fleet() {
-    let mut seed = router(0, 1).greeting(Standing::Serving);
+    let mut seed = router(0, 1).hello(Standing::Serving);
     seed.router.routers = 300;
     let mut newcomer = router(7, 1);
     newcomer.on_digest(Timestamp::from_millis(5), seed);
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -211,7 +211,7 @@
             sent.extend(targets.into_iter().map(|target| (target, reports.clone())));
             let reminder = known.next_reminder(now);
             sent.extend(
-                dispatcher.some_peer(self.random.next_u64()).map(|target| (target, reminder)),
+                dispatcher.random_peer(self.random.next_u64()).map(|target| (target, reminder)),
             );
         }
         for (target, reports) in sent {
--- a/crates/routing/tests/restored.rs
+++ b/crates/routing/tests/restored.rs
@@ -104,6 +104,6 @@
         (restored.digest(at(1), Standing::Serving), outdated.digest(at(1), Standing::Serving));
     outdated.on_digest(at(2), told_by_restored);
     restored.on_digest(at(2), told_by_outdated);
-    assert!(outdated.newer_elsewhere(at(3), 0.5).is_some());
-    assert!(restored.newer_elsewhere(at(3), 0.5).is_none());
+    assert!(outdated.newer_snapshot_address(at(3), 0.5).is_some());
+    assert!(restored.newer_snapshot_address(at(3), 0.5).is_none());
 }
--- a/crates/routing/tests/rollouts.rs
+++ b/crates/routing/tests/rollouts.rs
@@ -195,7 +195,7 @@
         let recorder = if is_lost { 1 } else { 0 };
         let indexes = 0..self.case.routers;
         let records: Vec<_> =
-            indexes.map(|index| self.fleet.router(index).judge_rollouts(now)).collect();
+            indexes.map(|index| self.fleet.router(index).evaluate_rollouts(now)).collect();
         for record in records[recorder.min(self.case.routers - 1)].clone() {
             if record.order.revision != self.order.revision {
                 continue;
@@ -292,9 +292,9 @@
     };
     let router = fleet.router(0);
     router.on_rollouts(at(0), &orders(0, RolloutState::Reverted));
-    assert!(router.judge_rollouts(at(500)).is_empty());
+    assert!(router.evaluate_rollouts(at(500)).is_empty());
     router.on_rollouts(at(1_000), &orders(1, RolloutState::InProgress));
-    let states = router.judge_rollouts(at(1_000)).into_iter().map(|record| record.state);
+    let states = router.evaluate_rollouts(at(1_000)).into_iter().map(|record| record.state);
     assert_eq!(states.collect::<Vec<_>>(), [RolloutState::Reverted]);
     for number in 0..200 {
         match router.admit(at(1_000 + number), demand(at(1_000 + number), None, "t"), 0.5) {
--- a/crates/routing/tests/support/fleet.rs
+++ b/crates/routing/tests/support/fleet.rs
@@ -161,13 +161,13 @@
         }
         let heard = self.clock(target) + DATAGRAM_TIME;
         let Some(router) = self.routers.get_mut(&target) else { return Vec::new() };
-        let mut following: Vec<Outgoing> = router.passed_on(message).into_iter().collect();
+        let mut following: Vec<Outgoing> = router.relayed_message(message).into_iter().collect();
         let new_peer = router.on_message(heard, message.clone());
         if self.repeats {
             assert_eq!(router.on_message(heard, message.clone()), None);
         }
-        if let Some(new_peer) = new_peer.filter(|new_peer| new_peer.wants_greeting) {
-            let message = PeerMessage::Digest(router.greeting(Standing::Serving));
+        if let Some(new_peer) = new_peer.filter(|new_peer| new_peer.needs_hello) {
+            let message = PeerMessage::Digest(router.hello(Standing::Serving));
             following.push(Outgoing { message, targets: vec![new_peer.address] });
         }
         following
@@ -208,7 +208,7 @@
     /// Routers that would ask one of another zone for what is new.
     pub fn asking_other_zones(&self) -> Vec<SocketAddr> {
         let asks = |(address, router): (&SocketAddr, &Dispatcher)| {
-            let asked = router.newer_elsewhere(self.now, 0.5)?;
+            let asked = router.newer_snapshot_address(self.now, 0.5)?;
             (zone(asked) != zone(*address)).then_some(*address)
         };
         self.routers.iter().filter_map(asks).collect()
