--- a/crates/router/src/forwarding.rs
+++ b/crates/router/src/forwarding.rs
@@ -40,7 +40,7 @@
         return OverflowResult::ServeHere(caller);
     }
     // Connections are closed unread whoever's they are, so the tenant that connects most would get most before its share is weighed.
-    let elsewhere = router.dispatcher.borrow().offload_target_elsewhere(rand::random());
+    let elsewhere = router.dispatcher.borrow().cross_zone_offload_target(rand::random());
     if let Some(peer) = elsewhere
         && let Some(offloaded) = ask_peer(&router, &table, peer).await
     {
