--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -83,7 +83,7 @@
     ListenerLimits {
         most_connections: router.settings.most_connections(),
         head_bytes: configured.head_bytes,
-        idle_time: configured.idle_time,
+        idle_time: configured.idle_timeout,
         overflow_part: 0.0,
         longest_life: None,
         greeting: None,
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -12,7 +12,7 @@
 use mastbay_routing::{
     BackEnd, BackEndDirectory, BackEndId, Considered, EngineKey, EvacuatedZones, Fault, Placement,
     QuarantinedRequest, RequestFingerprint, Revision, Role, RolloutRecord, Rollouts, RouteTable,
-    Turn, UsableChanges,
+    Tick, UsableChanges,
 };
 use mastbay_types::Timestamp;
 use std::collections::BTreeSet;
@@ -245,8 +245,8 @@
         revision = %changes.revision,
         back_ends = known.len(),
         ready = known.ready(),
-        set = changes.set.len(),
-        gone = changes.gone.len(),
+        set = changes.updated.len(),
+        gone = changes.removed.len(),
         source = %origin,
     );
 }
@@ -365,14 +365,14 @@
 }
 
 /// The router begins or ceases to send new callers elsewhere.
-pub fn overload(shedding: bool, lateness: f64, turn: Turn) {
+pub fn overload(shedding: bool, lateness: f64, turn: Tick) {
     tracing::info!(
         event = "overload",
         shedding,
         lateness,
         connections_part = turn.connections,
-        zone_shedding = turn.others.shedding,
-        others_larger = turn.others.larger,
+        zone_shedding = turn.peers.shedding,
+        others_larger = turn.peers.larger,
     );
 }
 
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -18,7 +18,7 @@
 use hyper::body::Incoming;
 use hyper::{Response, StatusCode, http};
 use mastbay_routing::{
-    Attempt, BackEndId, Fault, Placement, Refusal, RequestStanding, RouteKind, Verdict,
+    Attempt, BackEndId, ExecutionStatus, Fault, Placement, QuarantineStatus, Refusal, RouteKind,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -53,7 +53,7 @@
     /// Brings a request to its answer, or to the beginning of its stream.
     pub async fn run(router: &Rc<Router>, call: Rc<Call>) -> Response<LocalBody> {
         let route = &call.entry.route;
-        let attempt = Attempt::new(route.is_idempotent(), route.most_attempts);
+        let attempt = Attempt::new(route.is_idempotent(), route.max_attempts);
         let attempt = Rc::new(RefCell::new(attempt));
         let now = router.now();
         router.dispatcher.borrow_mut().on_request(now, &call.demand());
@@ -83,14 +83,14 @@
             }
             let mut demand = self.call.demand();
             demand.tried = self.tried.clone();
-            match quarantine::standing(&self.router, &self.call).await {
-                RequestStanding::Quarantined { retry_after, .. } if !self.takes_probe() => {
+            match quarantine::status(&self.router, &self.call).await {
+                QuarantineStatus::Quarantined { retry_after, .. } if !self.takes_probe() => {
                     return self.quarantined(retry_after);
                 }
-                RequestStanding::Quarantined { .. } | RequestStanding::Suspect => {
+                QuarantineStatus::Quarantined { .. } | QuarantineStatus::Suspect => {
                     demand.suspect = Some(self.call.fingerprint());
                 }
-                RequestStanding::Clear => {}
+                QuarantineStatus::Clear => {}
             }
             let obtained = Ticket::obtain(&self.router, demand).await;
             let (ticket, placement) = match obtained {
@@ -233,9 +233,9 @@
 
     /// What the caller is told of a request that goes to no further back end.
     fn told(&self, retry_after: Duration, reason: &'static str) -> Ended {
-        let answer = match self.attempt.borrow().verdict() {
-            Verdict::NotRun => OwnAnswer::NotRun { retry_after: Some(retry_after) },
-            Verdict::MayHaveRun => OwnAnswer::UnknownOutcome,
+        let answer = match self.attempt.borrow().execution_status() {
+            ExecutionStatus::NotRun => OwnAnswer::NotRun { retry_after: Some(retry_after) },
+            ExecutionStatus::MayHaveRun => OwnAnswer::UnknownOutcome,
         };
         Ended::GivenUp(answer, reason)
     }
@@ -245,9 +245,11 @@
 const REJECTED_PAUSE: Duration = Duration::from_millis(400);
 
 fn out_of_time(attempt: &Attempt) -> Ended {
-    match attempt.verdict() {
-        Verdict::NotRun => Ended::GivenUp(OwnAnswer::NotRun { retry_after: None }, "out_of_time"),
-        Verdict::MayHaveRun => Ended::GivenUp(OwnAnswer::OutOfTime, "out_of_time"),
+    match attempt.execution_status() {
+        ExecutionStatus::NotRun => {
+            Ended::GivenUp(OwnAnswer::NotRun { retry_after: None }, "out_of_time")
+        }
+        ExecutionStatus::MayHaveRun => Ended::GivenUp(OwnAnswer::OutOfTime, "out_of_time"),
     }
 }
 
--- a/crates/router/src/handing_on.rs
+++ b/crates/router/src/handing_on.rs
@@ -33,7 +33,7 @@
             return copy_to(&router, table, peer, offloaded, caller).await;
         }
     }
-    if rand::random::<f64>() >= router.turned_away_part() {
+    if rand::random::<f64>() >= router.rejected_fraction() {
         router.note_overflow(OverflowOutcome::KeptHere);
         return Overflowed::ServeHere(caller);
     }
--- a/crates/router/src/own_dialect.rs
+++ b/crates/router/src/own_dialect.rs
@@ -133,7 +133,7 @@
     Some(Prompt {
         parts: parts.collect(),
         input_tokens: input.parse().ok()?,
-        most_output_tokens: output.parse().ok()?,
+        max_output_tokens: output.parse().ok()?,
         output_hint: None,
     })
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -38,11 +38,11 @@
 
 async fn send_round(router: &Rc<Router>, socket: &UdpSocket) {
     let seeds = seeds(router);
-    let standing = router.standing();
+    let phase = router.phase();
     let messages = {
         let mut dispatcher = router.dispatcher.borrow_mut();
         let earlier = dispatcher.role();
-        let messages = dispatcher.next_round(router.now(), standing, &seeds);
+        let messages = dispatcher.next_round(router.now(), phase, &seeds);
         if dispatcher.role() != earlier {
             events::role_changed(dispatcher.role(), dispatcher.routers());
         }
@@ -120,7 +120,7 @@
     let Some(new_peer) = new_peer else { return };
     events::peer_heard(new_peer.address, router.dispatcher.borrow().routers());
     if new_peer.wants_greeting {
-        let greeting = router.dispatcher.borrow_mut().greeting(router.standing());
+        let greeting = router.dispatcher.borrow_mut().greeting(router.phase());
         send(socket, &PeerMessage::Digest(greeting), &[new_peer.address]).await;
     }
     let draining = router.dispatcher.borrow().draining_for_newcomer();
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -192,7 +192,7 @@
     fn count_open(&self, id: &BackEndId, bounds: ConnectionBounds) -> Result<OpenCount, PoolError> {
         let mut back_ends = self.back_ends.borrow_mut();
         let connections = back_ends.entry(id.clone()).or_default();
-        connections.most_resting = bounds.resting;
+        connections.most_resting = bounds.idle;
         let open = &connections.open;
         if open.get() >= bounds.open {
             return Err(PoolError::Exhausted);
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -7,8 +7,8 @@
 use crate::events;
 use crate::router::Router;
 use mastbay_routing::{
-    BackEnd, EndReport, EngineKey, Outgoing, PeerMessage, QuarantinedRequest, RequestFingerprint,
-    RequestStanding,
+    BackEnd, EngineKey, Outgoing, PeerMessage, QuarantineStatus, QuarantinedRequest,
+    RequestFingerprint, TerminationReport,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,20 +20,20 @@
 
 /// What is known of a request. Where one more end would quarantine it and it isn't known yet whether a back end ended under it a
 /// moment ago, that is waited for, a tenth of a second as a rule.
-pub async fn standing(router: &Router, call: &Call) -> RequestStanding {
+pub async fn status(router: &Router, call: &Call) -> QuarantineStatus {
     if !has_any(router) {
-        return RequestStanding::Clear;
+        return QuarantineStatus::Clear;
     }
     while is_verdict_awaited(router, call.fingerprint()) {
         router.runtime.sleep(VERDICT_PERIOD).await;
     }
-    current_standing(router, call)
+    current_status(router, call)
 }
 
 /// Lets a quarantined request through to see whether back ends bear it, if that is this router's turn.
 pub fn take_probe(router: &Router, call: &Call) -> bool {
     let request = call.fingerprint();
-    let turn = router.dispatcher.borrow().probe_turn(request);
+    let turn = router.dispatcher.borrow().probe_slot(request);
     let is_probe = router.quarantine.borrow_mut().take_probe(router.now(), request, turn);
     if is_probe {
         events::request_probed(request, &call.head.request_id);
@@ -48,31 +48,31 @@
 
 fn is_verdict_awaited(router: &Router, request: RequestFingerprint) -> bool {
     let awaited = router.broken.awaited_for(request);
-    let ends = router.quarantine.borrow().ends(router.now(), request);
+    let ends = router.quarantine.borrow().terminations(router.now(), request);
     awaited > 0 && awaited + ends + 1 >= router.settings.quarantine.ends
 }
 
 /// What is known of a request by now. One whose connection just broke is a suspect until it is known why.
-fn current_standing(router: &Router, call: &Call) -> RequestStanding {
+fn current_status(router: &Router, call: &Call) -> QuarantineStatus {
     if !has_any(router) {
-        return RequestStanding::Clear;
+        return QuarantineStatus::Clear;
     }
     let request = call.fingerprint();
-    let known = router.quarantine.borrow().standing(router.now(), request);
+    let known = router.quarantine.borrow().status(router.now(), request);
     let is_awaited = router.broken.awaited_for(request) > 0;
-    if known == RequestStanding::Clear && is_awaited { RequestStanding::Suspect } else { known }
+    if known == QuarantineStatus::Clear && is_awaited { QuarantineStatus::Suspect } else { known }
 }
 
 /// Whether back ends ended under a request, or may have.
 pub fn is_suspect(router: &Router, call: &Call) -> bool {
-    current_standing(router, call) == RequestStanding::Suspect
+    current_status(router, call) == QuarantineStatus::Suspect
 }
 
 /// When the caller of a request may come back, if it is quarantined.
 pub fn retry_after(router: &Router, call: &Call) -> Option<Duration> {
-    match current_standing(router, call) {
-        RequestStanding::Quarantined { retry_after, .. } => Some(retry_after),
-        RequestStanding::Clear | RequestStanding::Suspect => None,
+    match current_status(router, call) {
+        QuarantineStatus::Quarantined { retry_after, .. } => Some(retry_after),
+        QuarantineStatus::Clear | QuarantineStatus::Suspect => None,
     }
 }
 
@@ -96,14 +96,17 @@
     router.dispatcher.borrow_mut().on_back_end_ended(now, key);
     let quarantined: Vec<QuarantinedRequest> = {
         let mut quarantine = router.quarantine.borrow_mut();
-        requests.iter().filter_map(|request| quarantine.on_end(now, key, *request)).collect()
+        requests
+            .iter()
+            .filter_map(|request| quarantine.on_termination(now, key, *request))
+            .collect()
     };
     note_quarantined(router, &quarantined, "own");
     router.news.give();
 }
 
 /// Another router reports ends.
-pub fn take_reports(router: &Router, reports: &[EndReport], sender: SocketAddr) {
+pub fn take_reports(router: &Router, reports: &[TerminationReport], sender: SocketAddr) {
     let relaying = router.dispatcher.borrow().relaying();
     let now = router.now();
     for report in reports {
@@ -142,7 +145,7 @@
 
 /// All that a router which just came must know: the requests that are quarantined.
 pub fn message_for_newcomer(router: &Router) -> Option<PeerMessage> {
-    let reports = router.quarantine.borrow().reports_for_newcomer(router.now());
+    let reports = router.quarantine.borrow().reports_for_new_peer(router.now());
     (!reports.is_empty()).then_some(PeerMessage::Ends(reports))
 }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -15,7 +15,7 @@
 use http_body_util::BodyExt;
 use hyper::StatusCode;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use mastbay_routing::{Attempt, BackEndId, Fault, RequestStanding};
+use mastbay_routing::{Attempt, BackEndId, Fault, QuarantineStatus};
 use mastbay_types::Timestamp;
 use mastbay_web::BodyError;
 use smol::stream::{Stream, StreamExt};
@@ -311,10 +311,10 @@
             return false;
         }
         let left = self.call.time_left(self.router.now());
-        let standing = quarantine::standing(&self.router, &self.call);
-        match self.router.runtime.within(left, standing).await {
-            Ok(RequestStanding::Clear | RequestStanding::Suspect) => {}
-            Ok(RequestStanding::Quarantined { .. }) | Err(_) => return false,
+        let status = quarantine::status(&self.router, &self.call);
+        match self.router.runtime.within(left, status).await {
+            Ok(QuarantineStatus::Clear | QuarantineStatus::Suspect) => {}
+            Ok(QuarantineStatus::Quarantined { .. }) | Err(_) => return false,
         }
         self.resumes += 1;
         let left = self.call.time_left(self.router.now());
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -16,10 +16,10 @@
 use crate::settings::RouterSettings;
 use crate::snapshots::EncodedSnapshots;
 use mastbay_routing::{
-    BackEndUpdate, Dispatcher, DispatcherLimits, EvacuatedZones, Newcomer, OutageWatch,
-    OverloadGuard, PeerId, Placement, Quarantine, Refusal, Revision, RolloutRecord, Rollouts,
-    RouteTable, RoutingConfiguration, SourceContact, Standing, StandstillWatch, TicketId, Turn,
-    UsableChanges, watch_wait,
+    BackEndUpdate, Dispatcher, DispatcherLimits, EvacuatedZones, OutageDetector, OverloadGuard,
+    PeerId, Placement, Quarantine, Refusal, Revision, RolloutRecord, Rollouts, RouteTable,
+    RouterPhase, RoutingConfiguration, SourceContact, StallDetector, StartingRouter, Tick,
+    TicketId, UsableChanges, watch_timeout,
 };
 use mastbay_types::Timestamp;
 use smol::channel::Sender;
@@ -67,7 +67,7 @@
     pub(crate) stopping: Cell<bool>,
     overload: RefCell<OverloadGuard>,
     overflow: RefCell<OverflowAccount>,
-    outage: RefCell<OutageWatch>,
+    outage: RefCell<OutageDetector>,
     /// The first list of back ends came from a source that was restored from an older copy at some time.
     began_restored: Cell<bool>,
     pub(crate) broken: BrokenConnections,
@@ -78,7 +78,7 @@
     pub(crate) news: News,
     pub(crate) stop: StopSignal,
     pub(crate) open: OpenConnections,
-    standstill: Cell<StandstillWatch>,
+    standstill: Cell<StallDetector>,
     origin: Timestamp,
 }
 
@@ -90,7 +90,7 @@
         runtime: Runtime,
         metrics: RouterMetrics,
     ) -> Rc<Self> {
-        let me = PeerId { address: settings.digests, life: rand::random() };
+        let me = PeerId { address: settings.digests, incarnation: rand::random() };
         let burst_from = if settings.first_start {
             Timestamp::ZERO
         } else {
@@ -167,13 +167,13 @@
             return false;
         }
         let is_behind = self.dispatcher.borrow().is_behind(now);
-        is_behind || !standstill.has_heard_since(now)
+        is_behind || !standstill.has_contact_since_stall(now)
     }
 
     /// A peer or a source was heard.
     pub(crate) fn note_heard(&self) {
         let mut standstill = self.standstill.get();
-        standstill.on_heard(self.now());
+        standstill.on_contact(self.now());
         self.standstill.set(standstill);
     }
 
@@ -236,7 +236,7 @@
 
     fn watch_standstill(&self, now: Timestamp) {
         let mut standstill = self.standstill.get();
-        if let Some(lasted) = standstill.on_turn(now) {
+        if let Some(lasted) = standstill.on_tick(now) {
             events::stood_still(lasted);
         }
         self.standstill.set(standstill);
@@ -252,7 +252,7 @@
 
     fn use_back_ends(&self, changes: &UsableChanges, origin: Origin) {
         self.dispatcher.borrow_mut().on_back_end_changes(self.now(), changes);
-        self.pool.forget(&changes.gone);
+        self.pool.forget(&changes.removed);
         events::back_ends_known(self.catalogue.borrow().back_ends(), changes, origin);
         self.poll_waiting();
     }
@@ -272,7 +272,7 @@
         if self.dispatcher.borrow().source_contact() != SourceContact::Answered {
             return FIRST_WAIT;
         }
-        watch_wait(self.settings.propagation, rand::random())
+        watch_timeout(self.settings.propagation, rand::random())
     }
 
     /// Waits until this router is one of those that follow the source.
@@ -297,14 +297,14 @@
         if self.peers_fail.get() || is_complete {
             return self.peers_fail.get() || dispatcher.follows_source(now);
         }
-        let newcomer = Newcomer {
+        let newcomer = StartingRouter {
             running: now.since(Timestamp::ZERO),
             routers: dispatcher.fleet_size(),
             is_seed: self.settings.seeds.is_empty() || self.settings.is_seed(),
             follows_source: dispatcher.follows_source(now),
             others_reach_source: dispatcher.others_reach_source(now),
         };
-        newcomer.asks_source()
+        newcomer.queries_source()
     }
 
     /// A call to a source was answered, or failed.
@@ -327,7 +327,7 @@
 
     /// Whether it takes work.
     pub fn is_ready(&self) -> bool {
-        self.standing() == Standing::Serving
+        self.phase() == RouterPhase::Serving
             && self.catalogue.borrow().is_complete()
             && !self.awaits_peers()
     }
@@ -348,24 +348,24 @@
     }
 
     /// Whether it takes new callers.
-    pub fn standing(&self) -> Standing {
+    pub fn phase(&self) -> RouterPhase {
         if self.stopping.get() {
-            Standing::Leaving
+            RouterPhase::Leaving
         } else if self.overload.borrow().is_shedding() {
-            Standing::Shedding
+            RouterPhase::Shedding
         } else {
-            Standing::Serving
+            RouterPhase::Serving
         }
     }
 
     /// The part of new connections that are turned away unread. A planned stop turns none away.
-    pub(crate) fn turned_away_part(&self) -> f64 {
-        if self.stopping.get() { 0.0 } else { self.overload.borrow().turned_away_part() }
+    pub(crate) fn rejected_fraction(&self) -> f64 {
+        if self.stopping.get() { 0.0 } else { self.overload.borrow().rejected_fraction() }
     }
 
     /// The part of new connections that are handed to peers, if any takes them. A planned stop hands on none.
     pub(crate) fn overflow_part(&self) -> f64 {
-        if self.stopping.get() { 0.0 } else { self.overload.borrow().offloaded_part() }
+        if self.stopping.get() { 0.0 } else { self.overload.borrow().offloaded_fraction() }
     }
 
     /// A new connection was not simply served.
@@ -389,14 +389,14 @@
     /// Whether it takes connections of a peer that has more to do than it carries.
     pub(crate) fn takes_offloaded(&self) -> bool {
         self.is_ready()
-            && !self.overload.borrow().is_pressed()
+            && !self.overload.borrow().is_under_pressure()
             && self.open.count() <= self.settings.crowded_connections()
     }
 
     /// Time for which events that follow a stream's first may be gathered, if the router is pressed.
     pub(crate) fn gathering(&self) -> Option<Duration> {
-        let is_pressed = self.overload.borrow().is_pressed();
-        is_pressed.then(|| self.settings.event_delay.mul_f64(GATHERING_PART))
+        let is_under_pressure = self.overload.borrow().is_under_pressure();
+        is_under_pressure.then(|| self.settings.event_delay.mul_f64(GATHERING_PART))
     }
 
     /// Time for which bytes of an answer that a peer makes are gathered.
@@ -406,7 +406,7 @@
 
     /// Whether answers end their connection: callers are to go elsewhere, or many connections are open.
     pub(crate) fn ends_connections(&self) -> bool {
-        self.standing() != Standing::Serving
+        self.phase() != RouterPhase::Serving
             || self.overflow_part() > 0.0
             || self.open.count() > self.settings.crowded_connections()
     }
@@ -469,9 +469,9 @@
 
     /// Time until the next turn: soon while requests wait or the router is hard pressed.
     fn turn_period(&self) -> Duration {
-        let is_pressed =
-            self.overload.borrow().is_pressed() || self.standing() == Standing::Shedding;
-        if is_pressed || self.dispatcher.borrow().has_waiting() {
+        let is_under_pressure =
+            self.overload.borrow().is_under_pressure() || self.phase() == RouterPhase::Shedding;
+        if is_under_pressure || self.dispatcher.borrow().has_waiting() {
             TURN_PERIOD
         } else {
             self.runtime.until_turn(COMMON_TURN)
@@ -492,13 +492,13 @@
         self.dispatcher.borrow_mut().on_lag(now, lag);
         self.metrics.set_backing_off(self.dispatcher.borrow().backing_off(now));
         let most = self.settings.most_connections() as f64;
-        let turn = Turn {
+        let turn = Tick {
             period,
             lag,
             connections: self.open.count() as f64 / most,
-            others: self.dispatcher.borrow().others(),
+            peers: self.dispatcher.borrow().others(),
         };
-        let changed = self.overload.borrow_mut().on_turn(now, turn);
+        let changed = self.overload.borrow_mut().on_tick(now, turn);
         if let Some(shedding) = changed {
             events::overload(shedding, self.overload.borrow().lateness(), turn);
         }
--- a/crates/router/src/send.rs
+++ b/crates/router/src/send.rs
@@ -156,7 +156,7 @@
     fn connection_bounds(&self, back_end: &BackEnd) -> ConnectionBounds {
         let table = self.router.table();
         let service = table.as_ref().and_then(|table| table.service(&self.call.service));
-        let most = service.map_or(DEFAULT_MOST_CONNECTIONS, |service| service.most_connections);
+        let most = service.map_or(DEFAULT_MOST_CONNECTIONS, |service| service.max_connections);
         let routers = self.router.dispatcher.borrow().routers();
         ConnectionBounds::new(most, back_end.slots, routers)
     }
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -1,9 +1,9 @@
 //! Sizes of the messages between routers, as they are encoded.
 
 use mastbay_routing::{
-    BackEndId, Digest, EngineKey, EngineLevel, EngineLoad, Figures, HEAVIEST_TENANTS, Included,
-    LevelCounts, LimitSum, Load, PeerId, PeerMessage, PrefillWork, RouterState, SourceContact,
-    Standing, Sum, SumScope, TenantReport,
+    BackEndId, Digest, EngineKey, EngineLoad, EngineServiceLevel, HEAVIEST_TENANTS, IncludedDigest,
+    LimitSum, Load, LoadStats, PeerId, PeerMessage, PrefillWork, RouterPhase, RouterState,
+    ServiceLevelCounts, SourceContact, Sum, SumScope, TenantReport,
 };
 use quickcheck::quickcheck;
 use std::collections::BTreeSet;
@@ -22,11 +22,11 @@
     EngineLoad { engine: key(engine), load }
 }
 
-fn level(engine: usize) -> EngineLevel {
+fn level(engine: usize) -> EngineServiceLevel {
     let mut limits = LimitSum::default();
     (0..200).for_each(|_| limits.add(LimitSum::of(Some(11.0))));
-    let level = LevelCounts { requests: 420_000, missed: 70_000 };
-    EngineLevel { engine: key(engine), limits, level }
+    let level = ServiceLevelCounts { requests: 420_000, missed: 70_000 };
+    EngineServiceLevel { engine: key(engine), limits, level }
 }
 
 fn tenant(index: usize) -> TenantReport {
@@ -35,11 +35,11 @@
 
 fn router_state(address: SocketAddr) -> RouterState {
     RouterState {
-        id: PeerId { address, life: u64::MAX },
+        id: PeerId { address, incarnation: u64::MAX },
         sequence: 100_000,
         snapshots: address,
         zone: "junin-andes".to_owned(),
-        standing: Standing::Serving,
+        phase: RouterPhase::Serving,
         processor: 0.5,
         contact: SourceContact::Answered,
         configuration: 1_000,
@@ -53,26 +53,29 @@
 /// What an aggregator tells its 63 members of busy engines; with all figures in one round of eight.
 fn encoded_sum(engines: usize, tenants: usize, is_full: bool) -> usize {
     let address = SocketAddr::from(([10, 3, 0, 17], 7_500));
-    let figures = Figures {
+    let stats = LoadStats {
         loads: (0..engines).map(load).collect(),
-        levels: is_full.then(|| (0..engines).map(level).collect()),
+        service_levels: is_full.then(|| (0..engines).map(level).collect()),
         tenants: is_full.then(|| (0..tenants).map(tenant).collect()),
         heaviest: if is_full {
             Vec::new()
         } else {
             (0..tenants.min(HEAVIEST_TENANTS)).map(tenant).collect()
         },
-        paces: is_full.then(Vec::new),
+        event_intervals: is_full.then(Vec::new),
         releases: Vec::new(),
     };
     let router = router_state(address);
-    let included = (0..63).map(|life| Included { life: u64::MAX - life, sequence: 100_000 });
+    let included = (0..63).map(|incarnation| IncludedDigest {
+        incarnation: u64::MAX - incarnation,
+        sequence: 100_000,
+    });
     let sum = Sum {
         router,
         scope: SumScope::Fleet,
         part: 0,
         parts: 1,
-        figures,
+        stats,
         source_answers: true,
         shedding: 0,
         included: included.collect(),
@@ -97,7 +100,7 @@
 /// What a router tells one that it did not know, with the addresses of others.
 fn greeting(peers: Vec<SocketAddr>) -> PeerMessage {
     let router = router_state(SocketAddr::from(([10, 3, 0, 17], 7_500)));
-    PeerMessage::Digest(Digest { router, figures: None, is_member: false, peers })
+    PeerMessage::Digest(Digest { router, stats: None, is_member: false, peers })
 }
 
 fn length(message: &PeerMessage) -> usize {
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use mastbay_routing::{
     AllowedRegions, BackEnd, BackEndId, BackEndList, BackEndState, BudgetLimits, Digest,
     EngineLimits, EvacuatedZones, Limits, PeerId, PeerMessage, QuarantineLimits, Route, RouteKind,
-    RouterState, RoutingConfiguration, Service, SourceContact, Standing, Target, Tenant,
+    RouterPhase, RouterState, RoutingConfiguration, Service, SourceContact, Target, Tenant,
     WarmupLimits,
 };
 pub use mastbay_testbed::header;
@@ -150,7 +150,7 @@
         pause_objective: None,
         priority: 1,
         targets: vec![Target { service: service.to_owned(), weight: 1 }],
-        most_attempts: 2,
+        max_attempts: 2,
         public: prefix != "/keyed/",
         resumable,
         regions: AllowedRegions::default(),
@@ -161,7 +161,7 @@
     let engine = EngineLimits { batch: 8, memory_tokens: 1_000_000, tokens_per_event: 1 };
     let service = |name: &str, engine| Service {
         name: name.to_owned(),
-        most_connections: 100,
+        max_connections: 100,
         cold_rate: None,
         engine,
     };
@@ -290,11 +290,11 @@
     /// The same of one in a zone.
     pub fn introduce_in(&self, zone: &str, digests: SocketAddr, snapshots: SocketAddr) {
         let router = RouterState {
-            id: PeerId { address: digests, life: 1 },
+            id: PeerId { address: digests, incarnation: 1 },
             sequence: 1,
             snapshots,
             zone: zone.to_owned(),
-            standing: Standing::Serving,
+            phase: RouterPhase::Serving,
             processor: 1.0,
             contact: SourceContact::Idle,
             configuration: 1,
@@ -303,7 +303,7 @@
             rollouts: 0.into(),
             routers: 2,
         };
-        let digest = Digest { router, figures: None, is_member: false, peers: Vec::new() };
+        let digest = Digest { router, stats: None, is_member: false, peers: Vec::new() };
         let bytes = rmp_serde::to_vec(&PeerMessage::Digest(digest)).expect("encoded");
         let socket = UdpSocket::bind("127.0.0.1:0").expect("bound");
         socket.send_to(&bytes, self.settings.digests).expect("sent");
--- a/crates/router/tests/whole_path.rs
+++ b/crates/router/tests/whole_path.rs
@@ -332,11 +332,11 @@
         first.list(7, &[&back_end]);
         // Bed routers have no seeds: the first hears of the second by a digest of its own making.
         let state = mastbay_routing::RouterState {
-            id: mastbay_routing::PeerId { address: second.settings.digests, life: 1 },
+            id: mastbay_routing::PeerId { address: second.settings.digests, incarnation: 1 },
             sequence: 1,
             snapshots: second.settings.operations,
             zone: "a".to_owned(),
-            standing: mastbay_routing::Standing::Serving,
+            phase: mastbay_routing::RouterPhase::Serving,
             contact: mastbay_routing::SourceContact::Answered,
             processor: 1.0,
             configuration: 0,
@@ -347,7 +347,7 @@
         };
         let message = mastbay_routing::PeerMessage::Digest(mastbay_routing::Digest {
             router: state,
-            figures: None,
+            stats: None,
             is_member: false,
             peers: Vec::new(),
         });
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -17,7 +17,7 @@
 
 /// What a caller may be told once a request is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ExecutionStatus {
     /// It has not run and will not.
     NotRun,
     /// It may have run.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
     idempotent: bool,
-    most_sends: u32,
+    max_sends: u32,
     sends: u32,
     /// Sends after which it has run or may have run.
     runs: u32,
@@ -37,9 +37,9 @@
 
 impl Attempt {
     /// A request that no byte of has left.
-    pub fn new(idempotent: bool, most_sends: u32) -> Self {
-        let most_sends = most_sends.max(1);
-        Self { idempotent, most_sends, sends: 0, runs: 0, state: AttemptState::Unsent }
+    pub fn new(idempotent: bool, max_sends: u32) -> Self {
+        let max_sends = max_sends.max(1);
+        Self { idempotent, max_sends, sends: 0, runs: 0, state: AttemptState::Unsent }
     }
 
     /// How far it has come.
@@ -89,14 +89,14 @@
             AttemptState::Sent => false,
             AttemptState::Answered | AttemptState::Unknown => self.idempotent,
         };
-        settled && self.sends < self.most_sends
+        settled && self.sends < self.max_sends
     }
 
     /// What its caller may be told when it is given up now.
-    pub fn verdict(&self) -> Verdict {
+    pub fn execution_status(&self) -> ExecutionStatus {
         match self.state {
-            AttemptState::Unsent if self.runs == 0 => Verdict::NotRun,
-            _ => Verdict::MayHaveRun,
+            AttemptState::Unsent if self.runs == 0 => ExecutionStatus::NotRun,
+            _ => ExecutionStatus::MayHaveRun,
         }
     }
 
--- a/crates/routing/src/back_end.rs
+++ b/crates/routing/src/back_end.rs
@@ -14,13 +14,13 @@
     pub name: Arc<str>,
     /// Which of the lives under that name it is; a later one is larger. 0 where its source tells none: then a restarted one has
     /// another name.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 impl BackEndId {
     /// A life of a back end.
-    pub fn new(name: &str, life: u64) -> Self {
-        Self { name: Arc::from(name), life }
+    pub fn new(name: &str, incarnation: u64) -> Self {
+        Self { name: Arc::from(name), incarnation }
     }
 }
 
@@ -32,9 +32,9 @@
 
 impl fmt::Display for BackEndId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.life {
+        match self.incarnation {
             0 => formatter.write_str(&self.name),
-            life => write!(formatter, "{}#{life}", self.name),
+            incarnation => write!(formatter, "{}#{incarnation}", self.name),
         }
     }
 }
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -52,7 +52,7 @@
 
     /// Takes one second send, if the budget has it. `routers` is the number of routers of the fleet.
     pub fn take(&mut self, now: Timestamp, routers: usize) -> bool {
-        if self.left(now, routers) == 0 {
+        if self.remaining(now, routers) == 0 {
             return false;
         }
         self.repeats.push_back(now);
@@ -62,7 +62,7 @@
     /// Second sends left now. A router's part is no whole number: with 985 routers and a burst of 1,040 each had 0.74 of one and used none,
     /// and 500s that another back end would have mended went to callers. So each rounds its part of the burst up or down by its draw, and all together
     /// have as many as they should: in the mean, and within 14 of 728 in two fleets of three.
-    pub fn left(&mut self, now: Timestamp, routers: usize) -> u32 {
+    pub fn remaining(&mut self, now: Timestamp, routers: usize) -> u32 {
         self.forget(now);
         let burst = if now < self.burst_from { 0.0 } else { self.limits.burst };
         let earned = USED_PART * self.limits.ratio * self.requests.len() as f64;
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -13,7 +13,7 @@
 
 /// Events of one stream that make one observation of the pace. A single pause holds chance: a chunk of
 /// somebody's prompt, or events that arrived together.
-pub const EVENTS_OBSERVED: u32 = 8;
+pub const EVENTS_PER_OBSERVATION: u32 = 8;
 
 /// Part of the slots that the limit starts from while nobody has observed the engine. It doubles within a
 /// second if the pace allows it.
@@ -46,7 +46,7 @@
     /// Requests; 0 until the first change.
     limit: f64,
     /// Smoothed time between events, in milliseconds.
-    pace: f64,
+    event_interval: f64,
     pace_observations: u32,
     /// First events and paces that were seen.
     observations: u32,
@@ -56,12 +56,12 @@
 
 impl ConcurrencyLimit {
     /// The limit for an engine that nobody has observed.
-    pub fn start(slots: u32) -> f64 {
+    pub fn initial(slots: u32) -> f64 {
         (f64::from(slots) * START_PART).max(LEAST_LIMIT).min(f64::from(slots))
     }
 
     /// The limit in requests, if this router has found one and still sees answers of the engine.
-    pub fn found(&self, now: Timestamp) -> Option<f64> {
+    pub fn current(&self, now: Timestamp) -> Option<f64> {
         let is_fresh = now.since(self.observed) <= LIMIT_LIFE;
         (self.limit > 0.0 && is_fresh).then_some(self.limit)
     }
@@ -73,17 +73,17 @@
     }
 
     /// A stream's events came `per_event` apart.
-    pub fn observe_pace(&mut self, now: Timestamp, per_event: Duration) {
+    pub fn observe_event_interval(&mut self, now: Timestamp, per_event: Duration) {
         self.observe_first_event(now);
         self.pace_observations = self.pace_observations.saturating_add(1);
         let gain = PACE_GAIN.max(1.0 / f64::from(self.pace_observations));
-        self.pace += gain * (per_event.as_secs_f64() * 1e3 - self.pace);
+        self.event_interval += gain * (per_event.as_secs_f64() * 1e3 - self.event_interval);
     }
 
     /// The smoothed time between events, once it is believed.
-    pub fn pace(&self) -> Option<Duration> {
+    pub fn event_interval(&self) -> Option<Duration> {
         let is_believed = self.pace_observations >= FEWEST_OBSERVATIONS;
-        is_believed.then(|| Duration::from_secs_f64(self.pace / 1e3))
+        is_believed.then(|| Duration::from_secs_f64(self.event_interval / 1e3))
     }
 
     /// Moves the limit, which starts from `agreed`. It rises while `load` is under 1 and most of it is in use
@@ -149,13 +149,13 @@
 
 /// The time between events of an engine of a service without load: the least that was observed lately.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct UnloadedPace {
+pub struct UnloadedEventInterval {
     current: Option<Duration>,
     previous: Option<Duration>,
     rotated: Timestamp,
 }
 
-impl UnloadedPace {
+impl UnloadedEventInterval {
     /// An engine's smoothed time between events.
     pub fn observe(&mut self, now: Timestamp, per_event: Duration) {
         if now.since(self.rotated) > UNLOADED_LIFE / 2 {
@@ -166,7 +166,7 @@
     }
 
     /// The least, if any was observed.
-    pub fn least(&self) -> Option<Duration> {
+    pub fn minimum(&self) -> Option<Duration> {
         self.current.into_iter().chain(self.previous).min()
     }
 }
--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -46,7 +46,7 @@
     /// Services that take its requests.
     pub targets: Vec<Target>,
     /// Most back ends to which one request is sent.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no key.
     pub public: bool,
     /// Whether a stream may be taken up at another back end.
@@ -83,7 +83,7 @@
     /// Its name.
     pub name: String,
     /// Connections that one back end takes from the whole fleet.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// Requests a second that a cold back end bears; nothing if it bears as many as a warm one.
     pub cold_rate: Option<f64>,
     /// Limits of its engines, if it serves models.
@@ -111,9 +111,9 @@
     /// Largest body of a request, in bytes.
     pub body_bytes: usize,
     /// Longest time for the head of a request.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time that a connection rests.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// Tokens a second that all engines make, if known: a token read counts once, one made twice.
     pub tokens_per_second: Option<u64>,
 }
@@ -123,8 +123,8 @@
         Self {
             head_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
             tokens_per_second: None,
         }
     }
--- a/crates/routing/src/connections.rs
+++ b/crates/routing/src/connections.rs
@@ -22,7 +22,7 @@
     /// Open connections, those at work and those that rest.
     pub open: u32,
     /// Connections that rest.
-    pub resting: u32,
+    pub idle: u32,
 }
 
 impl ConnectionBounds {
@@ -31,9 +31,9 @@
     pub fn new(most: u32, slots: u32, routers: usize) -> Self {
         let used = f64::from(most) * USED_PART;
         let even = (used / routers.max(LEAST_ROUTERS) as f64) as u32;
-        let resting = even.max(FEWEST);
+        let idle = even.max(FEWEST);
         let for_slots = f64::from(slots) * (1.0 + BEYOND_SLOTS.0) + BEYOND_SLOTS.1;
         let busy = for_slots.min(used * BUSY_PART) as u32;
-        Self { open: resting.max(busy), resting }
+        Self { open: idle.max(busy), idle }
     }
 }
--- a/crates/routing/src/fading.rs
+++ b/crates/routing/src/decaying_counter.rs
@@ -5,13 +5,13 @@
 
 /// A number of events of which all but a part of 1/e is forgotten after `life`.
 #[derive(Debug, Clone, Copy)]
-pub struct FadingCount {
+pub struct DecayingCounter {
     life: Duration,
     count: f64,
     moved: Timestamp,
 }
 
-impl FadingCount {
+impl DecayingCounter {
     /// Nothing yet.
     pub fn new(life: Duration) -> Self {
         Self { life, count: 0.0, moved: Timestamp::ZERO }
--- a/crates/routing/src/digest.rs
+++ b/crates/routing/src/digest.rs
@@ -1,10 +1,10 @@
 //! What routers tell each other.
 
 use crate::back_end::BackEndId;
-use crate::figures::Figures;
-use crate::quarantine::EndReport;
+use crate::load_stats::LoadStats;
+use crate::quarantine::TerminationReport;
 use crate::revision::Revision;
-use crate::watching::SourceContact;
+use crate::source_watchers::SourceContact;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -14,12 +14,12 @@
     /// Where it listens for digests.
     pub address: SocketAddr,
     /// A random number drawn at its start.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// Whether a router takes new callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
-pub enum Standing {
+pub enum RouterPhase {
     /// It does.
     #[default]
     Serving,
@@ -41,7 +41,7 @@
     /// Its zone.
     pub zone: String,
     /// Whether it takes new callers.
-    pub standing: Standing,
+    pub phase: RouterPhase,
     /// Its part of a processor core.
     pub processor: f32,
     /// What it knows of the source by its own calls.
@@ -64,7 +64,7 @@
     /// The sender.
     pub router: RouterState,
     /// Its figures; left out of heartbeats, which only tell that it lives.
-    pub figures: Option<Figures>,
+    pub stats: Option<LoadStats>,
     /// Whether the sender reports to the receiver as its aggregator.
     pub is_member: bool,
     /// Digest addresses of further routers that it hears, in some digests.
@@ -83,9 +83,9 @@
 
 /// A digest whose figures are part of a sum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Included {
+pub struct IncludedDigest {
     /// The life of the router that sent it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its sequence number.
     pub sequence: u64,
 }
@@ -102,13 +102,13 @@
     /// Parts that the engines are split into, so that each message fits a datagram.
     pub parts: u32,
     /// The sums; those of tenants and services come with the first part.
-    pub figures: Figures,
+    pub stats: LoadStats,
     /// Whether the last call of any router to the source was answered, as far as the aggregator hears.
     pub source_answers: bool,
     /// Routers that report to it and shed, itself included.
     pub shedding: u32,
     /// The digests of members that the sums hold.
-    pub included: Vec<Included>,
+    pub included: Vec<IncludedDigest>,
 }
 
 /// A message between routers.
@@ -121,7 +121,7 @@
     /// Sums of an aggregator of another zone, which the receiver passes on as [`Self::Sum`] to the other aggregators of its own zone.
     SumForZone(Sum),
     /// Back ends that ended under requests.
-    Ends(Vec<EndReport>),
+    Ends(Vec<TerminationReport>),
     /// Back ends that said in answers that they end soon.
     Draining(Vec<BackEndId>),
 }
--- a/crates/routing/src/directory.rs
+++ b/crates/routing/src/directory.rs
@@ -5,8 +5,8 @@
 //! nothing since the source was restored or its history lost.
 
 use crate::back_end::{BackEnd, BackEndId, BackEndList, BackEndState};
-use crate::lapsed::LapsedBackEnds;
-use crate::lives::LatestLives;
+use crate::expired::ExpiredBackEnds;
+use crate::incarnations::LatestIncarnations;
 use crate::restored::DepartedBackEnds;
 use crate::revision::Revision;
 use mastbay_types::Timestamp;
@@ -27,12 +27,12 @@
     /// Those that were listed or changed; all of them in a whole list.
     pub listed: Vec<BackEnd>,
     /// Names of those that went.
-    pub gone: Vec<Arc<str>>,
+    pub removed: Vec<Arc<str>>,
 }
 
 impl From<BackEndList> for BackEndUpdate {
     fn from(list: BackEndList) -> Self {
-        Self { base: None, revision: list.revision, listed: list.back_ends, gone: Vec::new() }
+        Self { base: None, revision: list.revision, listed: list.back_ends, removed: Vec::new() }
     }
 }
 
@@ -42,9 +42,9 @@
     /// The revision at which this holds.
     pub revision: Revision,
     /// Those to use from now on as they are told here.
-    pub set: Vec<BackEnd>,
+    pub updated: Vec<BackEnd>,
     /// Those that are gone.
-    pub gone: Vec<BackEndId>,
+    pub removed: Vec<BackEndId>,
 }
 
 #[derive(Debug)]
@@ -62,11 +62,11 @@
     /// Number of those listed that take work.
     ready: usize,
     /// Names that went, and when.
-    gone: BTreeMap<Arc<str>, Revision>,
+    removed: BTreeMap<Arc<str>, Revision>,
     /// The revision from which on changes are known.
     changes_since: Revision,
-    lapsed: LapsedBackEnds,
-    lives: LatestLives,
+    lapsed: ExpiredBackEnds,
+    lives: LatestIncarnations,
     departed: DepartedBackEnds,
 }
 
@@ -89,7 +89,7 @@
                 return None;
             }
             Some(_) => {
-                for name in &update.gone {
+                for name in &update.removed {
                     self.remove(now, recovering, name, &mut changes);
                 }
             }
@@ -101,7 +101,7 @@
                 }
                 self.remove_missing(now, recovering || is_restored, &update, &mut changes);
                 self.changes_since = update.revision;
-                self.gone.clear();
+                self.removed.clear();
             }
         }
         for back_end in update.listed {
@@ -134,10 +134,10 @@
         changes: &mut UsableChanges,
     ) {
         let Some(Listed { back_end, .. }) = self.listed.remove(name) else { return };
-        self.gone.insert(name.clone(), changes.revision);
+        self.removed.insert(name.clone(), changes.revision);
         self.lives.on_gone(&back_end.id);
         if back_end.state != BackEndState::Ready {
-            changes.gone.push(back_end.id);
+            changes.removed.push(back_end.id);
             return;
         }
         self.ready -= 1;
@@ -145,7 +145,7 @@
             self.lapsed.keep(now, back_end);
         } else {
             self.departed.note(now, &back_end.id);
-            changes.gone.push(back_end.id);
+            changes.removed.push(back_end.id);
         }
     }
 
@@ -153,8 +153,8 @@
     fn set(&mut self, now: Timestamp, back_end: BackEnd, changes: &mut UsableChanges) {
         let name = back_end.id.name.clone();
         let known = self.listed.get(&name).map(|listed| &listed.back_end);
-        let latest = known.map(|known| known.id.life).max(self.lives.latest_gone(&name));
-        if latest.is_some_and(|latest| back_end.id.life < latest) {
+        let latest = known.map(|known| known.id.incarnation).max(self.lives.latest_gone(&name));
+        if latest.is_some_and(|latest| back_end.id.incarnation < latest) {
             return;
         }
         let kept = self.lapsed.take(&name);
@@ -164,8 +164,8 @@
         let known = self.listed.remove(&name).map(|listed| listed.back_end);
         let earlier = known.as_ref().map(|known| &known.id).or(kept.as_ref());
         if let Some(earlier) = earlier.filter(|earlier| **earlier != back_end.id) {
-            changes.set.retain(|one| one.id != *earlier);
-            changes.gone.push(earlier.clone());
+            changes.updated.retain(|one| one.id != *earlier);
+            changes.removed.push(earlier.clone());
         }
         if known.as_ref().is_some_and(|known| known.state == BackEndState::Ready) {
             self.ready -= 1;
@@ -174,22 +174,22 @@
             }
         }
         self.ready += usize::from(back_end.state == BackEndState::Ready);
-        self.gone.remove(&name);
+        self.removed.remove(&name);
         self.lives.on_listed(&name);
-        changes.set.push(self.departed.as_usable(back_end.clone()));
+        changes.updated.push(self.departed.as_usable(back_end.clone()));
         self.listed.insert(name, Listed { back_end, changed: changes.revision });
     }
 
     /// Takes back ends as gone that have been missing for too long after an outage, and believes a restored source after a while. Gives
     /// what that changes, if anything.
     pub fn expire(&mut self, now: Timestamp) -> Option<UsableChanges> {
-        let gone = self.lapsed.expire(now);
+        let removed = self.lapsed.expire(now);
         let believed = self.departed.expire(now);
-        let set = believed.iter().filter_map(|id| self.listed.get(&id.name));
-        let set: Vec<BackEnd> = set.map(|listed| listed.back_end.clone()).collect();
-        let has_changes = !gone.is_empty() || !set.is_empty();
+        let updated = believed.iter().filter_map(|id| self.listed.get(&id.name));
+        let updated: Vec<BackEnd> = updated.map(|listed| listed.back_end.clone()).collect();
+        let has_changes = !removed.is_empty() || !updated.is_empty();
         let revision = self.revision?;
-        has_changes.then_some(UsableChanges { revision, set, gone })
+        has_changes.then_some(UsableChanges { revision, updated, removed })
     }
 
     /// What changed after a revision, or the whole list where that is not known.
@@ -200,9 +200,10 @@
         let is_told = |changed: Revision| base.is_none_or(|base| changed > base);
         let listed = self.listed.values().filter(|listed| is_told(listed.changed));
         let listed = listed.map(|listed| listed.back_end.clone()).collect();
-        let gone = self.gone.iter().filter(|(_, gone)| base.is_some() && is_told(**gone));
-        let gone = gone.map(|(name, _)| name.clone()).collect();
-        BackEndUpdate { base, revision, listed, gone }
+        let removed =
+            self.removed.iter().filter(|(_, removed)| base.is_some() && is_told(**removed));
+        let removed = removed.map(|(name, _)| name.clone()).collect();
+        BackEndUpdate { base, revision, listed, removed }
     }
 
     /// The revision known, if any is.
@@ -226,8 +227,8 @@
     }
 
     fn forget_old_changes(&mut self) {
-        if self.gone.len() > MOST_GONE {
-            self.gone.clear();
+        if self.removed.len() > MOST_GONE {
+            self.removed.clear();
             self.changes_since = self.revision.unwrap_or_default();
         }
     }
--- a/crates/routing/src/dispatch/admission.rs
+++ b/crates/routing/src/dispatch/admission.rs
@@ -164,7 +164,7 @@
         if self.engines.ready(&demand.service).is_empty() {
             return Some(RefusalReason::NoBackEnd);
         }
-        let is_servable = demand.regions.are_all() || self.allowed(demand).next().is_some();
+        let is_servable = demand.regions.is_unrestricted() || self.allowed(demand).next().is_some();
         if !is_servable {
             return Some(RefusalReason::NoBackEndInRegion);
         }
@@ -194,7 +194,7 @@
 
     /// Until when a request waits: a part of its objective; one that was tried before, the whole.
     fn hold_until(&self, demand: &Demand) -> Timestamp {
-        let part = if demand.tried.is_empty() { self.limits.policy.hold_part } else { 1.0 };
+        let part = if demand.tried.is_empty() { self.limits.policy.wait_fraction } else { 1.0 };
         (demand.arrived + demand.objective.mul_f64(part)).min(demand.deadline)
     }
 }
--- a/crates/routing/src/dispatch/aggregation.rs
+++ b/crates/routing/src/dispatch/aggregation.rs
@@ -6,7 +6,7 @@
 //! Everybody works out who aggregates from what it hears of the others, without an election: if views differ for a
 //! while, some members report to another router, which aggregates them as well as any.
 
-use crate::digest::{PeerId, RouterState, Standing};
+use crate::digest::{PeerId, RouterPhase, RouterState};
 use mastbay_types::stable_hash;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
     /// Its zone.
     pub zone: &'a str,
     /// Whether it takes new work.
-    pub standing: Standing,
+    pub phase: RouterPhase,
     /// Its part of a processor core.
     pub processor: f32,
     /// Whether it was silent lately where it should have sent sums.
@@ -68,7 +68,7 @@
         Self {
             id: state.id,
             zone: &state.zone,
-            standing: state.standing,
+            phase: state.phase,
             processor: state.processor,
             is_suspected,
             tiebreak,
@@ -76,9 +76,9 @@
     }
 
     /// The order in which routers are chosen: sound ones first, then those with more processor.
-    fn rank(&self) -> (bool, Standing, Reverse<u32>, u64, SocketAddr) {
+    fn rank(&self) -> (bool, RouterPhase, Reverse<u32>, u64, SocketAddr) {
         let milli_cores = (self.processor * 1e3) as u32;
-        (self.is_suspected, self.standing, Reverse(milli_cores), self.tiebreak, self.id.address)
+        (self.is_suspected, self.phase, Reverse(milli_cores), self.tiebreak, self.id.address)
     }
 }
 
--- a/crates/routing/src/dispatch/announced.rs
+++ b/crates/routing/src/dispatch/announced.rs
@@ -5,7 +5,7 @@
 use crate::back_end::BackEndId;
 use crate::digest::{Outgoing, PeerMessage};
 use crate::engine::Engine;
-use crate::gossip::TELLINGS;
+use crate::gossip::TRANSMISSIONS;
 use crate::health::Fault;
 use crate::quarantine::Relaying;
 use mastbay_types::{Timestamp, mixed_hash};
@@ -17,12 +17,12 @@
 impl Dispatcher {
     /// A back end said in an answer to this router that it ends soon. Gives whether that is new. The other routers are told.
     pub fn on_draining(&mut self, now: Timestamp, id: &BackEndId) -> bool {
-        self.take_draining(now, id, TELLINGS)
+        self.take_draining(now, id, TRANSMISSIONS)
     }
 
     /// Another router tells of a back end that said so. Gives whether that is new.
     pub fn on_draining_told(&mut self, now: Timestamp, id: &BackEndId) -> bool {
-        let tellings = if self.relaying() == Relaying::All { TELLINGS } else { 0 };
+        let tellings = if self.relaying() == Relaying::All { TRANSMISSIONS } else { 0 };
         self.take_draining(now, id, tellings)
     }
 
@@ -90,7 +90,7 @@
     /// What speaks against a request that was placed at a back end and is about to be sent there. Since it was placed, the back end may
     /// have begun to leave, or have asked for a backoff.
     pub fn fault_before_send(&self, now: Timestamp, id: &BackEndId) -> Option<Fault> {
-        if !self.engines.get(id).is_some_and(Engine::takes_work) {
+        if !self.engines.get(id).is_some_and(Engine::accepts_work) {
             return Some(Fault::Replaced);
         }
         self.announcements.backs_off_until(now, id).map(|_| Fault::Full)
--- a/crates/routing/src/dispatch/cold_engines.rs
+++ b/crates/routing/src/dispatch/cold_engines.rs
@@ -28,7 +28,7 @@
         match self.holders(engine) {
             None => true,
             Some(holders) => {
-                self.is_holder(now, engine, holders) && engine.warmup.has_room(now, holders)
+                self.is_holder(now, engine, holders) && engine.warmup.has_capacity(now, holders)
             }
         }
     }
--- a/crates/routing/src/dispatch/engines.rs
+++ b/crates/routing/src/dispatch/engines.rs
@@ -7,7 +7,7 @@
 
 use crate::back_end::{BackEnd, BackEndId};
 use crate::engine::Engine;
-use crate::figures::EngineKey;
+use crate::load_stats::EngineKey;
 use mastbay_types::{Timestamp, stable_hash};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -122,7 +122,7 @@
         self.ready.clear();
         self.all.values_mut().for_each(change);
         // In order of their names, so each is added at the end.
-        for engine in self.all.values().filter(|engine| engine.takes_work()) {
+        for engine in self.all.values().filter(|engine| engine.accepts_work()) {
             let ready = self.ready.entry(engine.back_end.service.clone()).or_default();
             ready.push(ReadyEngine::of(engine));
         }
@@ -138,7 +138,7 @@
     }
 
     fn index(&mut self, engine: &Engine) {
-        if !engine.takes_work() {
+        if !engine.accepts_work() {
             self.remove_ready(engine);
             return;
         }
--- a/crates/routing/src/dispatch/fleet/mod.rs
+++ b/crates/routing/src/dispatch/fleet/mod.rs
@@ -8,11 +8,11 @@
 pub use rounds::HEAVIEST_TENANTS;
 
 use super::aggregation::{Role, tiebreak};
-use crate::digest::{Digest, Included, PeerId, RouterState, Standing, Sum, SumScope};
-use crate::figures::{EngineLoad, Figures};
-use crate::overload::Others;
+use crate::digest::{Digest, IncludedDigest, PeerId, RouterPhase, RouterState, Sum, SumScope};
+use crate::load_stats::{EngineLoad, LoadStats};
+use crate::overload::PeerCapacity;
 use crate::revision::Revision;
-use crate::watching::SourceContact;
+use crate::source_watchers::SourceContact;
 use mastbay_types::Timestamp;
 use roster::RosterEntry;
 use rounds::SumParts;
@@ -43,7 +43,7 @@
     /// Its zone.
     pub zone: String,
     /// Whether it takes new callers.
-    pub standing: Standing,
+    pub phase: RouterPhase,
     /// Its part of a processor core.
     pub processor: f32,
     /// What it knows of the source.
@@ -62,9 +62,9 @@
 #[derive(Debug, Default)]
 pub struct FiguresChange {
     /// What no longer counts.
-    pub removed: Vec<Figures>,
+    pub removed: Vec<LoadStats>,
     /// What counts now.
-    pub added: Option<Figures>,
+    pub added: Option<LoadStats>,
 }
 
 /// What became of a digest or a sum.
@@ -112,8 +112,8 @@
     /// When the rates of tenants among them were told last; most messages leave them out.
     rates_heard: Timestamp,
     /// The message that told them last.
-    by: Included,
-    figures: Figures,
+    by: IncludedDigest,
+    stats: LoadStats,
     /// Parts into which the sender has split its figures.
     parts: u32,
     source_answers: bool,
@@ -159,7 +159,7 @@
     mentioned: BTreeSet<SocketAddr>,
     /// When routers were greeted lately.
     greeted: BTreeMap<SocketAddr, Timestamp>,
-    others: Others,
+    others: PeerCapacity,
 }
 
 impl Fleet {
@@ -187,14 +187,15 @@
             parts_of_fleet: SumParts::default(),
             mentioned: BTreeSet::new(),
             greeted: BTreeMap::new(),
-            others: Others::default(),
+            others: PeerCapacity::default(),
         }
     }
 
     /// Takes a digest; nothing for one of this router itself or one that is not newer than the last.
     pub fn on_digest(&mut self, now: Timestamp, digest: Digest) -> Option<Heard> {
         let sender = digest.router.id;
-        let by = Included { life: sender.life, sequence: digest.router.sequence };
+        let by =
+            IncludedDigest { incarnation: sender.incarnation, sequence: digest.router.sequence };
         let contact = digest.router.contact;
         let mut change = FiguresChange::default();
         let is_new_peer = self.hear(now, digest.router, &mut change)?;
@@ -202,12 +203,12 @@
         // Who is reported to aggregates, also if it would not have chosen itself.
         let source_answers = digest.is_member && contact == SourceContact::Answered;
         let counts = digest.is_member == (self.role != Role::Mesh);
-        if let Some(figures) = digest.figures.filter(|_| counts) {
+        if let Some(stats) = digest.stats.filter(|_| counts) {
             let held = HeldFigures {
                 heard: now,
                 rates_heard: now,
                 by,
-                figures,
+                stats,
                 parts: 1,
                 source_answers,
                 routers: 1,
@@ -224,7 +225,7 @@
     /// those of the others' members.
     pub fn on_sum(&mut self, now: Timestamp, sum: Sum) -> Option<Heard> {
         let sender = sum.router.id;
-        let by = Included { life: sender.life, sequence: sum.router.sequence };
+        let by = IncludedDigest { incarnation: sender.incarnation, sequence: sum.router.sequence };
         let mut change = FiguresChange::default();
         let is_new_peer = self.hear(now, sum.router, &mut change)?;
         // One that was passed on may come from a router that does not know this one.
@@ -252,16 +253,16 @@
         if let Some(heard) = self.awaited.get_mut(&sender.address) {
             *heard = now;
         }
-        let mine = sum.included.iter().find(|included| included.life == self.me.life);
-        let figures = match mine.and_then(|mine| self.report(mine.sequence)) {
-            Some(loads) => sum.figures.without_loads(loads),
-            None => sum.figures,
+        let mine = sum.included.iter().find(|included| included.incarnation == self.me.incarnation);
+        let stats = match mine.and_then(|mine| self.report(mine.sequence)) {
+            Some(loads) => sum.stats.without_loads(loads),
+            None => sum.stats,
         };
         let held = HeldFigures {
             heard: now,
             rates_heard: now,
             by,
-            figures,
+            stats,
             parts: sum.parts,
             source_answers: sum.source_answers,
             routers: sum.included.len() + 1,
@@ -307,18 +308,18 @@
 
     /// Takes newer figures of a source. What they leave out holds on and is no change.
     fn hold(&mut self, source: FiguresSource, mut held: HeldFigures, change: &mut FiguresChange) {
-        change.added = Some(held.figures.clone());
-        let tells_rates = held.figures.tells_rates();
-        let mut figures = Figures::default();
+        change.added = Some(held.stats.clone());
+        let has_tenant_rates = held.stats.has_tenant_rates();
+        let mut stats = LoadStats::default();
         if let Some(earlier) = self.held.remove(&source) {
-            if !tells_rates {
+            if !has_tenant_rates {
                 held.rates_heard = earlier.rates_heard;
             }
-            figures = earlier.figures;
+            stats = earlier.stats;
         }
-        let newer = std::mem::take(&mut held.figures);
-        change.removed.push(figures.replace(newer));
-        held.figures = figures;
+        let newer = std::mem::take(&mut held.stats);
+        change.removed.push(stats.replace(newer));
+        held.stats = stats;
         self.held.insert(source, held);
     }
 
@@ -338,7 +339,7 @@
         let dropped = self.held.iter().filter(|(source, held)| is_dropped(**source, held));
         let dropped: Vec<FiguresSource> = dropped.map(|(source, _)| *source).collect();
         let dropped = dropped.iter().filter_map(|source| self.held.remove(source));
-        change.removed.extend(dropped.map(|held| held.figures));
+        change.removed.extend(dropped.map(|held| held.stats));
     }
 
     /// The loads of a report that this router has sent.
--- a/crates/routing/src/dispatch/fleet/role.rs
+++ b/crates/routing/src/dispatch/fleet/role.rs
@@ -2,7 +2,7 @@
 
 use super::{FiguresChange, FiguresSource, Fleet, OwnState, STAND_IN_PATIENCE};
 use crate::dispatch::aggregation::{Aggregators, Candidate, LARGEST_MESH, Role};
-use crate::watching::SourceContact;
+use crate::source_watchers::SourceContact;
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
@@ -113,7 +113,7 @@
         let me = Candidate {
             id: self.me,
             zone: &own.zone,
-            standing: own.standing,
+            phase: own.phase,
             processor: own.processor,
             is_suspected: false,
             tiebreak: self.tiebreak,
--- a/crates/routing/src/dispatch/fleet/roster.rs
+++ b/crates/routing/src/dispatch/fleet/roster.rs
@@ -4,8 +4,8 @@
 //! over the other's duties they would be done twice.
 
 use super::{FIGURES_LIFE, Fleet};
-use crate::digest::{RouterState, Standing};
-use crate::figures::EngineKey;
+use crate::digest::{RouterPhase, RouterState};
+use crate::load_stats::EngineKey;
 use mastbay_types::{Timestamp, stable_hash};
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
 
     /// A router was heard, directly.
     pub(super) fn note_on_roster(&mut self, now: Timestamp, state: &RouterState, tiebreak: u64) {
-        if state.standing == Standing::Leaving {
+        if state.phase == RouterPhase::Leaving {
             self.roster.remove(&state.id.address);
         } else {
             self.roster.insert(state.id.address, RosterEntry { heard: now, tiebreak });
--- a/crates/routing/src/dispatch/fleet/rounds.rs
+++ b/crates/routing/src/dispatch/fleet/rounds.rs
@@ -1,10 +1,10 @@
 //! The messages that a router sends.
 
 use super::{FiguresSource, Fleet, HEARTBEATS_PER_ROUND, HeldFigures, OwnState, Peer};
-use crate::digest::{Digest, Outgoing, PeerMessage, RouterState, Standing, Sum, SumScope};
+use crate::digest::{Digest, Outgoing, PeerMessage, RouterPhase, RouterState, Sum, SumScope};
 use crate::dispatch::aggregation::{LARGEST_MESH, Role};
-use crate::figures::{Figures, FiguresSum};
-use crate::watching::SourceContact;
+use crate::load_stats::{LoadStats, LoadStatsSum};
+use crate::source_watchers::SourceContact;
 use mastbay_types::Timestamp;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -78,8 +78,8 @@
     }
 
     /// Figures as the next round of a large fleet tells them.
-    fn for_round(&self, figures: Figures) -> Figures {
-        if self.is_full_round() { figures } else { figures.with_heaviest_tenants(HEAVIEST_TENANTS) }
+    fn for_round(&self, stats: LoadStats) -> LoadStats {
+        if self.is_full_round() { stats } else { stats.with_heaviest_tenants(HEAVIEST_TENANTS) }
     }
 
     /// Whether the next round tells what changes slowly; a mesh tells of engines' levels each time.
@@ -88,14 +88,14 @@
     }
 
     /// A digest of this router for all others; one in a few tells of tenants, paces and further routers.
-    pub fn digest(&mut self, own: OwnState, mut figures: Figures) -> Digest {
+    pub fn digest(&mut self, own: OwnState, mut stats: LoadStats) -> Digest {
         let is_full = (self.sequence + 1) % FULL_DIGEST == 1;
         if !is_full {
-            figures.tenants = None;
-            figures.paces = None;
+            stats.tenants = None;
+            stats.event_intervals = None;
         }
         let count = if is_full { PEERS_PASSED_ON } else { 0 };
-        self.digest_with(own, Some(figures), count)
+        self.digest_with(own, Some(stats), count)
     }
 
     /// A digest without figures.
@@ -108,9 +108,9 @@
         self.heartbeat(own, PEERS_FOR_NEWCOMERS)
     }
 
-    fn digest_with(&mut self, own: OwnState, figures: Option<Figures>, peers: usize) -> Digest {
+    fn digest_with(&mut self, own: OwnState, stats: Option<LoadStats>, peers: usize) -> Digest {
         let peers = self.some_addresses(peers);
-        Digest { router: self.next_state(own), figures, is_member: false, peers }
+        Digest { router: self.next_state(own), stats, is_member: false, peers }
     }
 
     fn next_state(&mut self, own: OwnState) -> RouterState {
@@ -120,7 +120,7 @@
             sequence: self.sequence,
             snapshots: self.snapshots,
             zone: own.zone,
-            standing: own.standing,
+            phase: own.phase,
             processor: own.processor,
             contact: own.contact,
             configuration: own.configuration,
@@ -138,24 +138,24 @@
         peers.iter().cycle().skip(start).take(count.min(peers.len())).copied().collect()
     }
 
-    /// The messages of one round, with `figures` of this router itself.
+    /// The messages of one round, with `stats` of this router itself.
     pub fn next_round(
         &mut self,
         now: Timestamp,
         own: &OwnState,
-        figures: Figures,
+        stats: LoadStats,
         seeds: &[SocketAddr],
     ) -> Vec<Outgoing> {
         self.has_seeds = !seeds.is_empty();
         let called_seeds = if self.calls_seeds() { seeds } else { &[] };
         let mut messages = match self.role {
-            Role::Mesh => vec![self.mesh_round(own, figures, called_seeds)],
+            Role::Mesh => vec![self.mesh_round(own, stats, called_seeds)],
             Role::Member(aggregator) => {
-                let report = self.member_report(own, figures, aggregator);
+                let report = self.member_report(own, stats, aggregator);
                 vec![report, self.heartbeat_round(own, called_seeds)]
             }
             Role::Aggregator => {
-                let mut messages = self.aggregator_round(own, &figures);
+                let mut messages = self.aggregator_round(own, &stats);
                 messages.push(self.heartbeat_round(own, called_seeds));
                 messages
             }
@@ -194,8 +194,8 @@
             || self.round.is_multiple_of(ROUNDS_PER_SEED_CALL * factor)
     }
 
-    fn mesh_round(&mut self, own: &OwnState, figures: Figures, seeds: &[SocketAddr]) -> Outgoing {
-        let digest = self.digest(own.clone(), figures);
+    fn mesh_round(&mut self, own: &OwnState, stats: LoadStats, seeds: &[SocketAddr]) -> Outgoing {
+        let digest = self.digest(own.clone(), stats);
         let targets = self.peers.keys().chain(seeds).copied().collect();
         self.outgoing(PeerMessage::Digest(digest), targets)
     }
@@ -209,35 +209,35 @@
         self.outgoing(PeerMessage::Digest(heartbeat), targets)
     }
 
-    fn member_report(&mut self, own: &OwnState, figures: Figures, to: SocketAddr) -> Outgoing {
-        let loads = figures.loads.clone();
+    fn member_report(&mut self, own: &OwnState, stats: LoadStats, to: SocketAddr) -> Outgoing {
+        let loads = stats.loads.clone();
         let router = self.next_state(own.clone());
         self.reports.push_back((router.sequence, loads));
         if self.reports.len() > REPORTS_KEPT {
             self.reports.pop_front();
         }
-        let figures = Some(self.for_round(figures));
-        let digest = Digest { router, figures, is_member: true, peers: Vec::new() };
+        let stats = Some(self.for_round(stats));
+        let digest = Digest { router, stats, is_member: true, peers: Vec::new() };
         self.outgoing(PeerMessage::Digest(digest), vec![to])
     }
 
-    fn aggregator_round(&mut self, own: &OwnState, figures: &Figures) -> Vec<Outgoing> {
+    fn aggregator_round(&mut self, own: &OwnState, stats: &LoadStats) -> Vec<Outgoing> {
         let with_slow_ones = self.is_full_round();
-        let add = |sum: &mut FiguresSum, figures: &Figures| {
-            sum.add_loads(figures);
-            sum.add_releases(figures);
-            sum.add_rates(figures);
+        let add = |sum: &mut LoadStatsSum, stats: &LoadStats| {
+            sum.add_loads(stats);
+            sum.add_releases(stats);
+            sum.add_rates(stats);
             if with_slow_ones {
-                sum.add_slow_ones(figures);
+                sum.add_slow_changing(stats);
             }
         };
-        let mut members = FiguresSum::default();
-        add(&mut members, figures);
-        self.members().for_each(|(_, held)| add(&mut members, &held.figures));
+        let mut members = LoadStatsSum::default();
+        add(&mut members, stats);
+        self.members().for_each(|(_, held)| add(&mut members, &held.stats));
         let mut fleet = members.clone();
         let other_sums =
             self.held.iter().filter(|(source, _)| !matches!(source, FiguresSource::Router(_)));
-        other_sums.for_each(|(_, held)| add(&mut fleet, &held.figures));
+        other_sums.for_each(|(_, held)| add(&mut fleet, &held.stats));
         let of_members = self.sums(own, SumScope::Members, members);
         let of_fleet = self.sums(own, SumScope::Fleet, fleet);
         let aggregators = self.next_aggregators(&own.zone);
@@ -298,17 +298,17 @@
     }
 
     /// Messages with a sum, one for each part of the engines.
-    fn sums(&mut self, own: &OwnState, scope: SumScope, sum: FiguresSum) -> Vec<Sum> {
-        let figures = self.for_round(sum.into_figures(self.is_full_round()));
+    fn sums(&mut self, own: &OwnState, scope: SumScope, sum: LoadStatsSum) -> Vec<Sum> {
+        let stats = self.for_round(sum.into_stats(self.is_full_round()));
         let round = self.round;
         let parts = match scope {
             SumScope::Members => &mut self.parts_of_members,
             SumScope::Fleet => &mut self.parts_of_fleet,
         };
-        let parts = parts.for_entries(round, figures.engines_told());
-        let figures = figures.split(parts);
-        let numbered = (0..parts).zip(figures);
-        numbered.map(|(part, figures)| self.sum(own, scope, (part, parts), figures)).collect()
+        let parts = parts.for_entries(round, stats.engine_count());
+        let stats = stats.split(parts);
+        let numbered = (0..parts).zip(stats);
+        numbered.map(|(part, stats)| self.sum(own, scope, (part, parts), stats)).collect()
     }
 
     fn sum(
@@ -316,21 +316,21 @@
         own: &OwnState,
         scope: SumScope,
         (part, parts): (u32, u32),
-        figures: Figures,
+        stats: LoadStats,
     ) -> Sum {
         let answered = own.contact == SourceContact::Answered;
         let others_answered = self.held.iter().any(|(source, held)| {
             let is_told = scope == SumScope::Fleet || matches!(source, FiguresSource::Router(_));
             is_told && held.source_answers
         });
-        let is_shedding = |peer: &&Peer| peer.state.standing == Standing::Shedding;
+        let is_shedding = |peer: &&Peer| peer.state.phase == RouterPhase::Shedding;
         let shedding = self.members().filter_map(|(address, _)| self.peers.get(&address));
-        let own_shedding = u32::from(own.standing == Standing::Shedding);
+        let own_shedding = u32::from(own.phase == RouterPhase::Shedding);
         let shedding = shedding.filter(is_shedding).count() as u32 + own_shedding;
         let included = self.members().map(|(_, held)| held.by).collect();
         let source_answers = answered || others_answered;
         let router = self.next_state(own.clone());
-        Sum { router, scope, part, parts, figures, source_answers, shedding, included }
+        Sum { router, scope, part, parts, stats, source_answers, shedding, included }
     }
 
     /// The routers that report to this one.
--- a/crates/routing/src/dispatch/fleet/view.rs
+++ b/crates/routing/src/dispatch/fleet/view.rs
@@ -1,14 +1,14 @@
 //! What a router knows by its peers: how many there are, who reaches the source, what they have at engines.
 
 use super::{FIGURES_LIFE, FiguresSource, Fleet, OwnState, STAND_IN_PATIENCE};
-use crate::digest::{RouterState, Standing};
+use crate::digest::{RouterPhase, RouterState};
 use crate::dispatch::aggregation::Role;
-use crate::figures::{EngineLevel, EngineLoad, Figures, FiguresSum, TenantReport};
 use crate::fingerprint::RequestFingerprint;
-use crate::overload::Others;
-use crate::quarantine::ProbeTurn;
+use crate::load_stats::{EngineLoad, EngineServiceLevel, LoadStats, LoadStatsSum, TenantReport};
+use crate::overload::PeerCapacity;
+use crate::quarantine::ProbeSlot;
 use crate::rollout::ReleaseReport;
-use crate::watching::{self, SourceContact};
+use crate::source_watchers::{self, SourceContact};
 use mastbay_types::{Timestamp, stable_hash};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
 
     /// A draw of this router's life, uniform in 0..1 over the routers of the fleet, another one for each subject.
     pub fn draw(&self, subject: &str) -> f64 {
-        let drawn = stable_hash(&[&self.me.life.to_be_bytes(), subject.as_bytes()]);
+        let drawn = stable_hash(&[&self.me.incarnation.to_be_bytes(), subject.as_bytes()]);
         drawn as f64 / (u64::MAX as f64 + 1.0)
     }
 
@@ -60,13 +60,13 @@
     }
 
     /// This router's turn to probe a request: routers that know each other all give the same order.
-    pub fn probe_turn(&self, request: RequestFingerprint) -> ProbeTurn {
+    pub fn probe_slot(&self, request: RequestFingerprint) -> ProbeSlot {
         let draw = |address: SocketAddr| {
             stable_hash(&[&request.short().to_be_bytes(), address.to_string().as_bytes()])
         };
         let own = draw(self.me.address);
         let before = self.peers.keys().filter(|peer| draw(**peer) < own).count();
-        ProbeTurn { place: before as u64, routers: self.routers() as u64 }
+        ProbeSlot { index: before as u64, routers: self.routers() as u64 }
     }
 
     /// One peer, drawn.
@@ -108,10 +108,13 @@
         if matches!(self.role, Role::Member(_)) {
             return self.is_isolated || self.stands_in(now);
         }
-        let serving = self.close_peers(now).filter(|peer| peer.standing != Standing::Leaving);
-        let others =
-            serving.map(|peer| watching::Candidate { router: peer.id, contact: peer.contact });
-        watching::follows_source(watching::Candidate { router: self.me, contact }, others)
+        let serving = self.close_peers(now).filter(|peer| peer.phase != RouterPhase::Leaving);
+        let others = serving
+            .map(|peer| source_watchers::Candidate { router: peer.id, contact: peer.contact });
+        source_watchers::follows_source(
+            source_watchers::Candidate { router: self.me, contact },
+            others,
+        )
     }
 
     /// Whether a member follows the source because no router reaches it: the source may turn away all aggregators and
@@ -135,11 +138,11 @@
     }
 
     /// What is known of the peers beside this router.
-    pub fn others(&self) -> Others {
+    pub fn others(&self) -> PeerCapacity {
         self.others
     }
 
-    pub(super) fn count_others(&self, now: Timestamp, own: &OwnState) -> Others {
+    pub(super) fn count_others(&self, now: Timestamp, own: &OwnState) -> PeerCapacity {
         let life = if self.role == Role::Mesh { FIGURES_LIFE } else { self.peer_life() };
         let peers = || {
             let heard = self.peers.values().filter(|peer| now.since(peer.heard) <= life);
@@ -150,12 +153,12 @@
             peers().filter(|state| is_counted(state)).count() as f64 / all
         };
         let in_zone = || peers().filter(|state| state.zone == own.zone);
-        let shedding = in_zone().filter(|state| state.standing == Standing::Shedding).count();
+        let shedding = in_zone().filter(|state| state.phase == RouterPhase::Shedding).count();
         let (in_zone, shedding) = match self.held.get(&FiguresSource::Fleet(0)) {
             Some(held) => (held.routers - 1, held.shedding),
             None => (in_zone().count(), shedding),
         };
-        Others {
+        PeerCapacity {
             in_zone,
             shedding,
             larger: part(&|state| state.processor > own.processor * MUCH_MORE),
@@ -190,7 +193,7 @@
     fn takers(&self, own: &OwnState) -> impl Iterator<Item = &RouterState> {
         let configuration = own.configuration;
         let peers = self.peers.values().map(|peer| &peer.state);
-        let serving = peers.filter(|state| state.standing == Standing::Serving);
+        let serving = peers.filter(|state| state.phase == RouterPhase::Serving);
         serving.filter(move |state| state.configuration <= configuration)
     }
 
@@ -201,27 +204,27 @@
 
     /// Time since the oldest rates of tenants that count were told to this router.
     pub fn rates_age(&self, now: Timestamp) -> Duration {
-        let told = self.held.values().filter(|held| held.figures.tenants.is_some());
+        let told = self.held.values().filter(|held| held.stats.tenants.is_some());
         told.map(|held| now.since(held.rates_heard)).max().unwrap_or_default()
     }
 
-    fn figures(&self) -> impl Iterator<Item = &Figures> {
-        self.held.values().map(|held| &held.figures)
+    fn stats(&self) -> impl Iterator<Item = &LoadStats> {
+        self.held.values().map(|held| &held.stats)
     }
 
     /// What the others have at engines.
     pub fn loads(&self) -> impl Iterator<Item = &EngineLoad> {
-        self.figures().flat_map(|figures| &figures.loads)
+        self.stats().flat_map(|stats| &stats.loads)
     }
 
     /// How well the others are served at engines.
-    pub fn levels(&self) -> impl Iterator<Item = &EngineLevel> {
-        self.figures().filter_map(|figures| figures.levels.as_ref()).flatten()
+    pub fn service_levels(&self) -> impl Iterator<Item = &EngineServiceLevel> {
+        self.stats().filter_map(|stats| stats.service_levels.as_ref()).flatten()
     }
 
     /// The least time between events of a service's engines that any peer observed.
     pub fn unloaded_pace(&self, service: &str) -> Option<Duration> {
-        let told = self.figures().filter_map(|figures| figures.paces.as_ref()).flatten();
+        let told = self.stats().filter_map(|stats| stats.event_intervals.as_ref()).flatten();
         let least =
             told.filter(|pace| pace.service == service).map(|pace| pace.unloaded_micros).min();
         least.map(|micros| Duration::from_micros(u64::from(micros)))
@@ -234,7 +237,7 @@
     ) -> (HashMap<String, f64>, HashMap<String, f64>) {
         let mut asked: HashMap<String, f64> = HashMap::new();
         let mut given: HashMap<String, f64> = HashMap::new();
-        let told = self.figures().filter_map(|figures| figures.tenants.as_ref()).flatten();
+        let told = self.stats().filter_map(|stats| stats.tenants.as_ref()).flatten();
         let includes_me = self.held.values().any(|held| held.includes_me);
         let own = own.iter().filter(|_| !includes_me);
         for report in told.chain(own) {
@@ -246,8 +249,8 @@
 
     /// What all routers counted of roll-outs, this one's own counts among it.
     pub fn release_reports(&self, own: &[ReleaseReport]) -> Vec<ReleaseReport> {
-        let mut sum = FiguresSum::default();
-        self.figures().for_each(|figures| sum.add_releases(figures));
+        let mut sum = LoadStatsSum::default();
+        self.stats().for_each(|stats| sum.add_releases(stats));
         if !self.held.values().any(|held| held.includes_me) {
             own.iter().for_each(|report| sum.add_release(report));
         }
--- a/crates/routing/src/dispatch/mod.rs
+++ b/crates/routing/src/dispatch/mod.rs
@@ -22,23 +22,23 @@
 use crate::announcements::Announcements;
 use crate::back_end::{BackEnd, BackEndId, BackEndList};
 use crate::budget::RetryBudget;
-use crate::concurrency::UnloadedPace;
+use crate::concurrency::UnloadedEventInterval;
 use crate::configuration::{EngineLimits, RoutingConfiguration};
 use crate::digest::PeerId;
 use crate::directory::UsableChanges;
 use crate::engine::{Engine, Load};
 use crate::evacuation::EvacuatedZones;
-use crate::figures::EngineKey;
 use crate::fingerprint::RequestFingerprint;
 use crate::first_event::{FirstEventEstimator, PrefillWork};
 use crate::gossip::GossipQueue;
 use crate::health::Fault;
-use crate::quarantine::{ProbeTurn, Relaying};
+use crate::load_stats::EngineKey;
+use crate::quarantine::{ProbeSlot, Relaying};
 use crate::revision::Revision;
-use crate::rollout::RolloutBook;
+use crate::rollout::RolloutRegistry;
 use crate::shares::Usage;
+use crate::source_watchers::SourceContact;
 use crate::waiting::WaitingQueue;
-use crate::watching::SourceContact;
 use cold_engines::HeldColdEngines;
 use engines::Engines;
 use fair_level::Shares;
@@ -97,7 +97,7 @@
     /// Requests a second that a cold back end of a service bears, where that is bounded.
     cold_rates: HashMap<String, f64>,
     first_events: HashMap<String, FirstEventEstimator>,
-    unloaded: HashMap<String, UnloadedPace>,
+    unloaded: HashMap<String, UnloadedEventInterval>,
     preferred: PreferredEngines,
     waiting: HashMap<String, WaitingQueue>,
     running: HashMap<TicketId, Running>,
@@ -112,7 +112,7 @@
     back_ends: Revision,
     evacuated: EvacuatedZones,
     held_cold: HeldColdEngines,
-    rollouts: RolloutBook,
+    rollouts: RolloutRegistry,
     rollouts_revision: Revision,
 }
 
@@ -145,7 +145,7 @@
             back_ends: Revision::default(),
             evacuated: EvacuatedZones::default(),
             held_cold: HeldColdEngines::default(),
-            rollouts: RolloutBook::default(),
+            rollouts: RolloutRegistry::default(),
             rollouts_revision: Revision::default(),
         }
     }
@@ -167,11 +167,11 @@
     /// Takes what has changed among the back ends.
     pub fn on_back_end_changes(&mut self, now: Timestamp, changes: &UsableChanges) {
         self.back_ends = changes.revision;
-        for id in &changes.gone {
+        for id in &changes.removed {
             self.engines.remove(id);
             self.preferred.on_lost(id);
         }
-        self.set_back_ends(now, &changes.set);
+        self.set_back_ends(now, &changes.updated);
     }
 
     /// Sets back ends as they may be used: an answer of theirs may have told more than their source knew.
@@ -189,9 +189,9 @@
     pub fn on_back_ends(&mut self, now: Timestamp, list: &BackEndList) {
         let listed: HashSet<&BackEndId> =
             list.back_ends.iter().map(|back_end| &back_end.id).collect();
-        let gone = self.engines.ids().filter(|id| !listed.contains(id)).cloned().collect();
-        let set = list.back_ends.clone();
-        self.on_back_end_changes(now, &UsableChanges { revision: list.revision, set, gone });
+        let removed = self.engines.ids().filter(|id| !listed.contains(id)).cloned().collect();
+        let updated = list.back_ends.clone();
+        self.on_back_end_changes(now, &UsableChanges { revision: list.revision, updated, removed });
     }
 
     /// Sets back ends. What other routers have at those that are new is found in one pass over what they told.
@@ -232,7 +232,7 @@
 
     /// Whether an event or an answer of a back end came after a moment.
     pub fn has_heard_since(&self, id: &BackEndId, since: Timestamp) -> bool {
-        self.engines.get(id).is_some_and(|engine| engine.heard > since)
+        self.engines.get(id).is_some_and(|engine| engine.last_response > since)
     }
 
     /// A life of a back end ended. All others are spared to find that out by a connection that is refused.
@@ -268,8 +268,8 @@
     }
 
     /// This router's turn to probe a request that is quarantined.
-    pub fn probe_turn(&self, request: RequestFingerprint) -> ProbeTurn {
-        self.fleet.probe_turn(request)
+    pub fn probe_slot(&self, request: RequestFingerprint) -> ProbeSlot {
+        self.fleet.probe_slot(request)
     }
 
     /// One peer, drawn.
@@ -304,7 +304,7 @@
     /// Second sends left for a service.
     pub fn retries_left(&mut self, now: Timestamp, service: &str) -> u32 {
         let routers = self.fleet.size();
-        self.budget(service).left(now, routers)
+        self.budget(service).remaining(now, routers)
     }
 
     /// The router itself runs late by `lag`. Times seen for a while after much of it tell of the router
@@ -330,7 +330,7 @@
         let (predicted, work_ahead) = (running.predicted, running.work_ahead);
         self.announcements.on_served(&running.back_end, running.sent);
         let Some(engine) = self.engines.get_mut(&running.back_end) else { return };
-        engine.heard = now;
+        engine.last_response = now;
         engine.own.prefill.remove(prefill);
         if now < self.lagging_until || engine.warmup.is_cold(now) {
             return;
@@ -368,13 +368,13 @@
         engine.own.remove(running.load);
         match outcome {
             Ok(()) => {
-                engine.heard = now;
+                engine.last_response = now;
                 engine.health.on_success(now);
             }
             Err(Some(fault)) => {
                 engine.health.on_fault(now, fault);
                 if matches!(fault, Fault::Unreachable | Fault::Replaced) {
-                    engine.forget();
+                    engine.clear_prompt_parts();
                 }
             }
             Err(None) => {}
@@ -417,7 +417,7 @@
         engine.warmup.on_sent(now);
         self.announcements.on_sent(now, &id);
         if let Some(prompt) = &demand.prompt {
-            engine.remember(prompt, now);
+            engine.record_prompt(prompt, now);
         }
         let back_end = engine.back_end.clone();
         if let (Some(tenant), Some(prompt)) = (&demand.tenant, &demand.prompt) {
--- a/crates/routing/src/dispatch/pacing.rs
+++ b/crates/routing/src/dispatch/pacing.rs
@@ -2,9 +2,9 @@
 
 use super::{Dispatcher, TicketId};
 use crate::back_end::BackEndId;
-use crate::concurrency::{EVENTS_OBSERVED, UnloadedPace};
+use crate::concurrency::{EVENTS_PER_OBSERVATION, UnloadedEventInterval};
 use crate::engine::Engine;
-use crate::figures::ServicePace;
+use crate::load_stats::ServiceEventInterval;
 use mastbay_types::Timestamp;
 
 impl Dispatcher {
@@ -13,9 +13,9 @@
         let Some(running) = self.running.get_mut(&ticket) else { return };
         running.events += count;
         if let Some(engine) = self.engines.get_mut(&running.back_end) {
-            engine.heard = now;
+            engine.last_response = now;
         }
-        if running.events < EVENTS_OBSERVED {
+        if running.events < EVENTS_PER_OBSERVATION {
             return;
         }
         let events = std::mem::take(&mut running.events);
@@ -27,8 +27,8 @@
         if engine.warmup.is_cold(now) {
             return;
         }
-        engine.limit.observe_pace(now, now.since(began) / events);
-        if let Some(pace) = engine.limit.pace() {
+        engine.limit.observe_event_interval(now, now.since(began) / events);
+        if let Some(pace) = engine.limit.event_interval() {
             self.unloaded.entry(engine.back_end.service.clone()).or_default().observe(now, pace);
         }
         let back_end = running.back_end.clone();
@@ -50,7 +50,7 @@
     /// others back would help nobody: the misses have another cause, a fault or a restart.
     fn engine_load(&self, now: Timestamp, engine: &Engine) -> f64 {
         let policy = &self.limits.policy;
-        let misses = engine.missed_share(now) / policy.accepted_misses;
+        let misses = engine.miss_rate(now) / policy.accepted_misses;
         let accepted = if misses > 1.0 { policy.strained_slowdown } else { policy.slowdown };
         self.slowdown(engine).map_or(misses, |slowdown| slowdown / accepted)
     }
@@ -58,18 +58,18 @@
     /// The time between events of an engine's streams, in times of the least that any router observed at
     /// the service; nothing for streams too short to tell.
     fn slowdown(&self, engine: &Engine) -> Option<f64> {
-        let pace = engine.limit.pace()?;
+        let pace = engine.limit.event_interval()?;
         let service = &engine.back_end.service;
-        let own = self.unloaded.get(service).and_then(UnloadedPace::least);
+        let own = self.unloaded.get(service).and_then(UnloadedEventInterval::minimum);
         let least = own.into_iter().chain(self.fleet.unloaded_pace(service)).min()?;
         Some(pace.as_secs_f64() / least.as_secs_f64().max(f64::MIN_POSITIVE))
     }
 
     /// The least time between events of each service that this router observed.
-    pub(super) fn unloaded_paces(&self) -> Vec<ServicePace> {
+    pub(super) fn unloaded_paces(&self) -> Vec<ServiceEventInterval> {
         let observed = self.unloaded.iter().filter_map(|(service, pace)| {
-            let unloaded_micros = u32::try_from(pace.least()?.as_micros()).ok()?;
-            Some(ServicePace { service: service.clone(), unloaded_micros })
+            let unloaded_micros = u32::try_from(pace.minimum()?.as_micros()).ok()?;
+            Some(ServiceEventInterval { service: service.clone(), unloaded_micros })
         });
         observed.collect()
     }
--- a/crates/routing/src/dispatch/peers.rs
+++ b/crates/routing/src/dispatch/peers.rs
@@ -2,9 +2,9 @@
 
 use super::Dispatcher;
 use super::fleet::{FiguresChange, NewPeer, OwnState};
-use crate::digest::{Digest, Outgoing, PeerMessage, Standing, Sum};
+use crate::digest::{Digest, Outgoing, PeerMessage, RouterPhase, Sum};
 use crate::engine::{Engine, Load};
-use crate::figures::{EngineKey, EngineLevel, EngineLoad, Figures};
+use crate::load_stats::{EngineKey, EngineLoad, EngineServiceLevel, LoadStats};
 use mastbay_types::Timestamp;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -59,49 +59,49 @@
     }
 
     /// This router's own digest for all others of a small fleet.
-    pub fn digest(&mut self, now: Timestamp, standing: Standing) -> Digest {
-        let own = self.own_state(standing);
-        let figures = self.own_figures(now);
-        self.fleet.digest(own, figures)
+    pub fn digest(&mut self, now: Timestamp, phase: RouterPhase) -> Digest {
+        let own = self.own_state(phase);
+        let stats = self.own_figures(now);
+        self.fleet.digest(own, stats)
     }
 
     /// What this router tells others now. `seeds` are called now and then, in case nobody else is known.
     pub fn next_round(
         &mut self,
         now: Timestamp,
-        standing: Standing,
+        phase: RouterPhase,
         seeds: &[SocketAddr],
     ) -> Vec<Outgoing> {
         self.expire_peers(now);
-        self.engines.retain_busy(|engine| engine.has_own_figures(now));
-        let own = self.own_state(standing);
+        self.engines.retain_busy(|engine| engine.has_own_stats(now));
+        let own = self.own_state(phase);
         let change = self.fleet.choose_role(now, &own);
         self.apply(change);
-        let figures = if self.fleet.tells_slow_figures() {
+        let stats = if self.fleet.tells_slow_figures() {
             self.own_figures(now)
         } else {
-            Figures {
+            LoadStats {
                 loads: self.own_loads(now),
                 tenants: Some(self.usage.reports(now)),
                 releases: self.rollouts.reports(),
-                ..Figures::default()
+                ..LoadStats::default()
             }
         };
-        let mut messages = self.fleet.next_round(now, &own, figures, seeds);
+        let mut messages = self.fleet.next_round(now, &own, stats, seeds);
         messages.extend(self.next_draining(now));
         messages
     }
 
     /// The answer to a router that was not known before.
-    pub fn greeting(&mut self, standing: Standing) -> Digest {
-        let own = self.own_state(standing);
+    pub fn greeting(&mut self, phase: RouterPhase) -> Digest {
+        let own = self.own_state(phase);
         self.fleet.greeting(own)
     }
 
-    pub(super) fn own_state(&self, standing: Standing) -> OwnState {
+    pub(super) fn own_state(&self, phase: RouterPhase) -> OwnState {
         OwnState {
             zone: self.limits.zone.clone(),
-            standing,
+            phase,
             processor: self.limits.processor,
             contact: self.contact,
             configuration: self.configuration,
@@ -119,14 +119,15 @@
         loads
     }
 
-    fn own_figures(&mut self, now: Timestamp) -> Figures {
-        let levels = self.engines.busy().filter_map(|engine| engine.own_level(now)).collect();
-        Figures {
+    fn own_figures(&mut self, now: Timestamp) -> LoadStats {
+        let service_levels =
+            self.engines.busy().filter_map(|engine| engine.own_service_level(now)).collect();
+        LoadStats {
             loads: self.own_loads(now),
-            levels: Some(levels),
+            service_levels: Some(service_levels),
             tenants: Some(self.usage.reports(now)),
             heaviest: Vec::new(),
-            paces: Some(self.unloaded_paces()),
+            event_intervals: Some(self.unloaded_paces()),
             releases: self.rollouts.reports(),
         }
     }
@@ -139,10 +140,10 @@
             }
         }
         for removed in &change.removed {
-            self.change_others(removed, Engine::remove_load, Engine::remove_level);
+            self.change_others(removed, Engine::remove_load, Engine::remove_service_level);
         }
         if let Some(added) = &change.added {
-            self.change_others(added, Engine::add_load, Engine::add_level);
+            self.change_others(added, Engine::add_load, Engine::add_service_level);
         }
     }
 
@@ -153,9 +154,9 @@
                 engine.add_load(entry.load);
             }
         }
-        for entry in self.fleet.levels().filter(|entry| new.contains(&entry.engine)) {
+        for entry in self.fleet.service_levels().filter(|entry| new.contains(&entry.engine)) {
             if let Some(engine) = self.engines.by_key(entry.engine) {
-                engine.add_level(entry);
+                engine.add_service_level(entry);
             }
         }
     }
@@ -163,16 +164,16 @@
     /// Changes what others have at engines by each of the figures.
     fn change_others(
         &mut self,
-        figures: &Figures,
+        stats: &LoadStats,
         change_load: fn(&mut Engine, Load),
-        change_level: fn(&mut Engine, &EngineLevel),
+        change_level: fn(&mut Engine, &EngineServiceLevel),
     ) {
-        for entry in &figures.loads {
+        for entry in &stats.loads {
             if let Some(engine) = self.engines.by_key(entry.engine) {
                 change_load(engine, entry.load);
             }
         }
-        for entry in figures.levels.iter().flatten() {
+        for entry in stats.service_levels.iter().flatten() {
             if let Some(engine) = self.engines.by_key(entry.engine) {
                 change_level(engine, entry);
             }
--- a/crates/routing/src/dispatch/placement.rs
+++ b/crates/routing/src/dispatch/placement.rs
@@ -7,7 +7,7 @@
 use crate::first_event::PrefillWork;
 use crate::policy::{ConcurrencyPolicy, Policy};
 use crate::prompt::Prompt;
-use crate::rollout::ReleaseChoice;
+use crate::rollout::VersionFilter;
 use mastbay_types::{Timestamp, mixed_hash};
 use std::time::Duration;
 
@@ -75,7 +75,7 @@
     /// Its time to wait is over.
     pub last_call: bool,
     /// The versions that may serve it.
-    pub release: ReleaseChoice,
+    pub release: VersionFilter,
 }
 
 impl Dispatcher {
@@ -101,14 +101,14 @@
         now: Timestamp,
         engine: &Engine,
         demand: &Demand,
-        release: &ReleaseChoice,
+        release: &VersionFilter,
     ) -> bool {
         engine.back_end.service == demand.service
-            && engine.takes_work()
+            && engine.accepts_work()
             && demand.regions.allow(engine.region.as_deref())
             && release.allows(&engine.back_end.version)
             && self.bears_more(now, engine)
-            && !engine.health.is_paused(now)
+            && !engine.health.is_cooling_down(now)
             && self.announcements.admits(now, &engine.back_end.id)
             && !engine.is_ended(now)
             && !demand.tried.contains(&engine.back_end.id)
@@ -119,7 +119,7 @@
         &self,
         now: Timestamp,
         demand: &Demand,
-        release: &ReleaseChoice,
+        release: &VersionFilter,
     ) -> impl Iterator<Item = &Engine> {
         let ready = self.engines.ready(&demand.service).iter();
         let engines = ready.filter_map(|ready| self.engines.get(&ready.id));
@@ -145,7 +145,7 @@
         &self,
         now: Timestamp,
         demand: &Demand,
-        release: &ReleaseChoice,
+        release: &VersionFilter,
     ) -> impl Iterator<Item = &Engine> {
         let ready = self.engines.ready(&demand.service);
         let first =
@@ -162,7 +162,7 @@
         &self,
         now: Timestamp,
         demand: &Demand,
-        release: &ReleaseChoice,
+        release: &VersionFilter,
     ) -> Vec<Weighed> {
         let candidates = self.drawn_candidates(now, demand, release);
         let with_room = candidates.filter_map(|engine| self.weigh_if_plain_room(now, engine));
@@ -177,7 +177,7 @@
         let slots = f64::from(engine.back_end.slots.max(1));
         let is_near = engine.back_end.zone == self.limits.zone;
         let zone = if is_near { 0.0 } else { OTHER_ZONE_SLOTS };
-        let failures = engine.health.failure_share(now) / FAILURE_STEP;
+        let failures = engine.health.failure_rate(now) / FAILURE_STEP;
         let cost =
             f64::from(engine.load().running) / slots * engine.latency_ratio + zone + failures;
         Some(Weighed {
@@ -226,7 +226,7 @@
         let waits_for_locality = !is_cheap
             && demand.tried.is_empty()
             && !preferred.iter().any(backs_off)
-            && waited < demand.objective.mul_f64(policy.locality_wait);
+            && waited < demand.objective.mul_f64(policy.locality_wait_fraction);
         let ranks =
             if is_cheap { policy.preferred_engines_cheap } else { policy.preferred_engines };
         let candidate = |id| {
@@ -323,7 +323,7 @@
         let alone = Duration::from_secs_f64(alone / 1e3);
         let slots = f64::from(engine.back_end.slots.max(1));
         let occupancy = f64::from(load.running) / slots;
-        let failures = engine.health.failure_share(now) / FAILURE_STEP;
+        let failures = engine.health.failure_rate(now) / FAILURE_STEP;
         let recomputed = cost_of_recomputing(prompt, uncached.saturating_sub(prompt.own_tokens()));
         let late = predicted / milliseconds(demand.objective).max(1.0) * LATE_COST;
         let cost = recomputed + occupancy + failures + late + rank as f64 * RANK_COST;
@@ -356,7 +356,7 @@
 ) -> bool {
     let waited = now.since(demand.arrived);
     let is_over = terms.class == ShareClass::AboveShare;
-    let part = if is_over { policy.above_share_time } else { policy.time_part };
+    let part = if is_over { policy.above_share_time_fraction } else { policy.time_fraction };
     let allowed = if !demand.tried.is_empty() {
         demand.deadline.since(demand.arrived)
     } else if terms.last_call {
--- a/crates/routing/src/dispatch/preferred_engines.rs
+++ b/crates/routing/src/dispatch/preferred_engines.rs
@@ -4,7 +4,7 @@
 use super::engines::{Engines, ReadyEngine};
 use crate::back_end::{BackEnd, BackEndId};
 use crate::regions::AllowedRegions;
-use crate::rollout::ReleaseChoice;
+use crate::rollout::VersionFilter;
 use mastbay_types::mixed_hash;
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -24,7 +24,7 @@
     /// Where the requests may be served.
     regions: AllowedRegions,
     /// The versions that may serve.
-    release: ReleaseChoice,
+    release: VersionFilter,
 }
 
 /// Rankings made since the back ends changed last.
@@ -56,7 +56,7 @@
     /// A back end is new, or its state has changed. Orders in which it would stand and doesn't are made anew.
     pub fn on_set(&mut self, engines: &Engines, back_end: &BackEnd) {
         let Some(engine) = engines.get(&back_end.id) else { return };
-        if !engine.takes_work() {
+        if !engine.accepts_work() {
             return self.on_lost(&back_end.id);
         }
         let name_hash = ReadyEngine::of(engine).name_hash;
@@ -73,7 +73,7 @@
         &mut self,
         engines: &Engines,
         demand: &Demand,
-        release: &ReleaseChoice,
+        release: &VersionFilter,
         prefix: u64,
     ) -> Rc<[BackEndId]> {
         if self.rankings.len() > MOST_REMEMBERED {
@@ -98,8 +98,8 @@
     }
 }
 
-fn rank(engines: &Engines, demand: &Demand, release: &ReleaseChoice, prefix: u64) -> Ranking {
-    let is_free = demand.regions.are_all() && *release == ReleaseChoice::Any;
+fn rank(engines: &Engines, demand: &Demand, release: &VersionFilter, prefix: u64) -> Ranking {
+    let is_free = demand.regions.is_unrestricted() && *release == VersionFilter::Any;
     let may_serve = |ready: &&ReadyEngine| {
         is_free
             || engines.get(&ready.id).is_some_and(|engine| {
--- a/crates/routing/src/dispatch/releases.rs
+++ b/crates/routing/src/dispatch/releases.rs
@@ -3,7 +3,7 @@
 use super::placement::{Terms, Weighed};
 use super::{Demand, Dispatcher, Running};
 use crate::health::Fault;
-use crate::rollout::{AnswerQuality, ReleaseChoice, RolloutRecord, Rollouts, Side};
+use crate::rollout::{AnswerOutcome, RolloutRecord, Rollouts, Side, VersionFilter};
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
@@ -34,12 +34,12 @@
             return Vec::new();
         }
         let fleet = self.fleet.release_reports(&self.rollouts.reports());
-        self.rollouts.judge(now, &fleet)
+        self.rollouts.evaluate(now, &fleet)
     }
 
     /// Where requests of a service go that are no part of a canary.
-    pub(super) fn usual_release(&self, now: Timestamp, service: &str) -> ReleaseChoice {
-        self.rollouts.of(service).map(|rollout| rollout.usual_choice(now)).unwrap_or_default()
+    pub(super) fn usual_release(&self, now: Timestamp, service: &str) -> VersionFilter {
+        self.rollouts.of(service).map(|rollout| rollout.default_filter(now)).unwrap_or_default()
     }
 
     /// The best back end of the version that is rolled out, if the request may be part of the canary. One that was tried before may
@@ -55,8 +55,8 @@
         if !is_first_try || !rollout.may_expose(now, self.limits.exposure, self.fleet.size()) {
             return None;
         }
-        let ReleaseChoice::Except(version) = rollout.usual_choice(now) else { return None };
-        let terms = Terms { release: ReleaseChoice::Only(version), ..terms.clone() };
+        let VersionFilter::Except(version) = rollout.default_filter(now) else { return None };
+        let terms = Terms { release: VersionFilter::Only(version), ..terms.clone() };
         self.best(now, demand, &terms)
     }
 
@@ -91,11 +91,11 @@
         let Some(rollout) = self.rollouts.of_mut(&engine.back_end.service) else { return };
         let answer = match (outcome, part.taken) {
             (Err(Some(Fault::Full | Fault::Replaced | Fault::Unreachable)), _) => return,
-            (Err(Some(Fault::Broken | Fault::Failure)), _) => AnswerQuality::Failed,
+            (Err(Some(Fault::Broken | Fault::Failure)), _) => AnswerOutcome::Failed,
             // A caller that went away says as much as the time that it had waited.
             (Ok(()) | Err(None), taken) => {
                 let taken = taken.unwrap_or_else(|| now.since(running.sent));
-                AnswerQuality::Came(part.in_expected_times(taken))
+                AnswerOutcome::Answered(part.in_expected_times(taken))
             }
         };
         rollout.on_answer(part.route, part.side, answer);
--- a/crates/routing/src/dispatch/sharing.rs
+++ b/crates/routing/src/dispatch/sharing.rs
@@ -42,7 +42,7 @@
         let estimator = self.first_events.get(&demand.service).copied().unwrap_or_default();
         let alone = Duration::from_secs_f64(estimator.estimate(prompt.prefill(uncached)) / 1e3);
         let is_within = class != ShareClass::AboveShare;
-        let could_be_in_time = alone <= demand.objective.mul_f64(self.limits.policy.time_part);
+        let could_be_in_time = alone <= demand.objective.mul_f64(self.limits.policy.time_fraction);
         (is_within && could_be_in_time).then_some(demand.arrived + demand.objective)
     }
 
--- a/crates/routing/src/dispatch/source.rs
+++ b/crates/routing/src/dispatch/source.rs
@@ -1,9 +1,9 @@
 //! What the fleet knows of the source of configuration and back ends, and who asks it.
 
 use super::Dispatcher;
-use crate::digest::Standing;
-use crate::overload::Others;
-use crate::watching::SourceContact;
+use crate::digest::RouterPhase;
+use crate::overload::PeerCapacity;
+use crate::source_watchers::SourceContact;
 use mastbay_types::Timestamp;
 use std::net::SocketAddr;
 
@@ -34,21 +34,21 @@
     }
 
     /// What is known of the other routers.
-    pub fn others(&self) -> Others {
+    pub fn others(&self) -> PeerCapacity {
         self.fleet.others()
     }
 
     /// Peers, by their digest addresses, that may take connections off this router, the first choice first. `draws`,
     /// uniform in 0..1, spread the choice.
     pub fn offload_targets(&self, draws: (f64, f64)) -> Vec<SocketAddr> {
-        self.fleet.offload_targets(&self.own_state(Standing::Serving), draws)
+        self.fleet.offload_targets(&self.own_state(RouterPhase::Serving), draws)
     }
 
     /// A peer of another zone, by its digest address, that may take a connection that would else be closed unread: what passes
     /// between zones costs. It is of the same region, where round trips are short, and its zone is not evacuated. `draw`, uniform
     /// in 0..1, spreads the choice.
     pub fn offload_target_elsewhere(&self, draw: f64) -> Option<SocketAddr> {
-        let own = self.own_state(Standing::Serving);
+        let own = self.own_state(RouterPhase::Serving);
         let region = self.limits.regions.of(&own.zone)?;
         let is_near = |zone: &str| {
             let is_in_region = self.limits.regions.of(zone).as_ref() == Some(&region);
@@ -59,7 +59,7 @@
 
     /// Whether any peer has told of a newer configuration or newer back ends.
     pub fn is_behind(&self, now: Timestamp) -> bool {
-        self.fleet.is_behind(now, &self.own_state(Standing::Serving))
+        self.fleet.is_behind(now, &self.own_state(RouterPhase::Serving))
     }
 
     /// Where a peer that has told of a newer configuration or newer back ends hands them out, if this router should ask one now: a
@@ -67,6 +67,6 @@
     ///
     /// `draw`, uniform in 0..1, picks one, so that not all ask the same.
     pub fn newer_elsewhere(&self, now: Timestamp, draw: f64) -> Option<SocketAddr> {
-        self.fleet.newer_than(now, &self.own_state(Standing::Serving), draw)
+        self.fleet.newer_than(now, &self.own_state(RouterPhase::Serving), draw)
     }
 }
--- a/crates/routing/src/dispatch/suspects.rs
+++ b/crates/routing/src/dispatch/suspects.rs
@@ -7,8 +7,8 @@
 use super::placement::{Terms, Weighed};
 use super::{Demand, Dispatcher};
 use crate::engine::Engine;
-use crate::figures::EngineKey;
 use crate::fingerprint::RequestFingerprint;
+use crate::load_stats::EngineKey;
 use mastbay_types::{Timestamp, stable_hash};
 use std::cmp::Reverse;
 
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -2,12 +2,12 @@
 
 use crate::back_end::{BackEnd, BackEndState};
 use crate::concurrency::{ConcurrencyLimit, LimitSum};
-use crate::fading::FadingCount;
-use crate::figures::{EngineKey, EngineLevel, EngineLoad};
+use crate::decaying_counter::DecayingCounter;
 use crate::first_event::PrefillWork;
 use crate::health::Health;
+use crate::load_stats::{EngineKey, EngineLoad, EngineServiceLevel};
 use crate::prompt::Prompt;
-use crate::service_level::{LevelCounts, ServiceLevel};
+use crate::service_level::{ServiceLevel, ServiceLevelCounts};
 use crate::warmup::Warmup;
 use mastbay_types::Timestamp;
 use serde::{Deserialize, Serialize};
@@ -85,8 +85,8 @@
     /// What tenants within their fair share met with here, over this router.
     service_level: ServiceLevel,
     /// The same over the other routers.
-    others_level: LevelCounts,
-    unplaced: FadingCount,
+    others_level: ServiceLevelCounts,
+    unplaced: DecayingCounter,
     parts: HashMap<u64, Timestamp>,
     /// Whether it is cold, and what this router has sent there since.
     pub warmup: Warmup,
@@ -95,7 +95,7 @@
     /// Its region, if that of its zone is known.
     pub region: Option<Arc<str>>,
     /// When an event or an answer of it came last.
-    pub heard: Timestamp,
+    pub last_response: Timestamp,
     /// When this router learned that this life of it ended.
     ended: Option<Timestamp>,
 }
@@ -107,7 +107,7 @@
             warmup: Warmup::of_new(now, back_end.cold_for),
             is_evacuated: false,
             region: None,
-            heard: Timestamp::ZERO,
+            last_response: Timestamp::ZERO,
             ended: None,
             key: EngineKey::from(&back_end.id),
             back_end,
@@ -118,8 +118,8 @@
             limit: ConcurrencyLimit::default(),
             peer_limits: LimitSum::default(),
             service_level: ServiceLevel::default(),
-            others_level: LevelCounts::default(),
-            unplaced: FadingCount::new(UNPLACED_LIFE),
+            others_level: ServiceLevelCounts::default(),
+            unplaced: DecayingCounter::new(UNPLACED_LIFE),
             parts: HashMap::new(),
         }
     }
@@ -127,13 +127,13 @@
     /// The same back end as its source tells of it now.
     pub fn with(mut self, now: Timestamp, back_end: BackEnd) -> Self {
         if back_end.cold_for != self.back_end.cold_for {
-            self.warmup.on_told(now, back_end.cold_for);
+            self.warmup.on_update(now, back_end.cold_for);
         }
         Self { back_end, ..self }
     }
 
     /// Whether it may be given anything new.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.back_end.state == BackEndState::Ready && !self.is_evacuated
     }
 
@@ -165,13 +165,13 @@
     }
 
     /// Other routers told how well it serves.
-    pub fn add_level(&mut self, told: &EngineLevel) {
+    pub fn add_service_level(&mut self, told: &EngineServiceLevel) {
         self.peer_limits.add(told.limits);
         self.others_level.add(told.level);
     }
 
     /// What they told no longer counts.
-    pub fn remove_level(&mut self, told: &EngineLevel) {
+    pub fn remove_service_level(&mut self, told: &EngineServiceLevel) {
         self.peer_limits.remove(told.limits);
         self.others_level.remove(told.level);
     }
@@ -179,8 +179,8 @@
     /// The concurrency limit on which the routers agree: the mean of what they found.
     pub fn agreed_limit(&self, now: Timestamp) -> f64 {
         let slots = self.back_end.slots.max(1);
-        let agreed = self.peer_limits.mean_with(self.limit.found(now));
-        agreed.unwrap_or_else(|| ConcurrencyLimit::start(slots))
+        let agreed = self.peer_limits.mean_with(self.limit.current(now));
+        agreed.unwrap_or_else(|| ConcurrencyLimit::initial(slots))
     }
 
     /// Prompt tokens that it has to read: those after the first part that it does not hold.
@@ -191,7 +191,7 @@
     }
 
     /// It has been given a prompt.
-    pub fn remember(&mut self, prompt: &Prompt, now: Timestamp) {
+    pub fn record_prompt(&mut self, prompt: &Prompt, now: Timestamp) {
         for part in &prompt.parts {
             self.parts.insert(part.id, now);
         }
@@ -209,10 +209,10 @@
     }
 
     /// The share of such requests that were not served in time, over all routers.
-    pub fn missed_share(&self, now: Timestamp) -> f64 {
+    pub fn miss_rate(&self, now: Timestamp) -> f64 {
         let mut counts = self.service_level.counts(now);
         counts.add(self.others_level);
-        counts.missed_share()
+        counts.miss_rate()
     }
 
     /// A request of a tenant below half of its share could not be placed here.
@@ -227,20 +227,20 @@
     }
 
     /// How well this router is served here, if it has seen anything lately.
-    pub fn own_level(&self, now: Timestamp) -> Option<EngineLevel> {
-        let limits = LimitSum::of(self.limit.found(now));
+    pub fn own_service_level(&self, now: Timestamp) -> Option<EngineServiceLevel> {
+        let limits = LimitSum::of(self.limit.current(now));
         let level = self.service_level.counts(now);
-        let tells_anything = !limits.is_empty() || level != LevelCounts::default();
-        tells_anything.then_some(EngineLevel { engine: self.key, limits, level })
+        let tells_anything = !limits.is_empty() || level != ServiceLevelCounts::default();
+        tells_anything.then_some(EngineServiceLevel { engine: self.key, limits, level })
     }
 
     /// Whether there is anything that this router tells others of it.
-    pub fn has_own_figures(&self, now: Timestamp) -> bool {
-        self.own_load(now).load != Load::default() || self.own_level(now).is_some()
+    pub fn has_own_stats(&self, now: Timestamp) -> bool {
+        self.own_load(now).load != Load::default() || self.own_service_level(now).is_some()
     }
 
     /// It has lost its memory.
-    pub fn forget(&mut self) {
+    pub fn clear_prompt_parts(&mut self) {
         self.parts.clear();
     }
 }
--- a/crates/routing/src/lapsed.rs
+++ b/crates/routing/src/expired.rs
@@ -21,12 +21,12 @@
 /// Follows whether any router of the fleet has contact with the source. One that is cut off alone says
 /// nothing about the source: entries lapse only while it is away for the back ends too.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct OutageWatch {
+pub struct OutageDetector {
     lost: Option<Timestamp>,
     recovering_until: Option<Timestamp>,
 }
 
-impl OutageWatch {
+impl OutageDetector {
     /// No router's last call was answered.
     pub fn on_lost(&mut self, now: Timestamp) {
         self.lost.get_or_insert(now);
@@ -52,11 +52,11 @@
 
 /// The back ends that are missing from the source and kept for a while.
 #[derive(Debug, Default)]
-pub struct LapsedBackEnds {
+pub struct ExpiredBackEnds {
     kept: BTreeMap<Arc<str>, (BackEndId, Timestamp)>,
 }
 
-impl LapsedBackEnds {
+impl ExpiredBackEnds {
     /// A back end that took work is missing, while the source is just recovering from an outage.
     pub fn keep(&mut self, now: Timestamp, back_end: BackEnd) {
         self.kept.insert(back_end.id.name.clone(), (back_end.id, now + KEPT));
--- a/crates/routing/src/gossip.rs
+++ b/crates/routing/src/gossip.rs
@@ -4,7 +4,7 @@
 
 /// Rounds in which one thing is told. With three targets a round and as many rounds, one router of a large fleet misses it once in
 /// 8,000 times.
-pub const TELLINGS: u32 = 3;
+pub const TRANSMISSIONS: u32 = 3;
 
 /// Things that are still to be told.
 #[derive(Debug)]
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -61,12 +61,12 @@
     }
 
     /// Whether nothing should be sent to it now.
-    pub fn is_paused(&self, now: Timestamp) -> bool {
+    pub fn is_cooling_down(&self, now: Timestamp) -> bool {
         now < self.paused_until
     }
 
     /// The share of exchanges that fail, 0 to 1, as believed now.
-    pub fn failure_share(&self, now: Timestamp) -> f64 {
+    pub fn failure_rate(&self, now: Timestamp) -> f64 {
         let halvings = now.since(self.moved).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.failures * 0.5_f64.powf(halvings)
     }
@@ -76,7 +76,7 @@
     }
 
     fn move_share(&mut self, now: Timestamp, outcome: f64) {
-        let share = self.failure_share(now);
+        let share = self.failure_rate(now);
         self.failures = share + GAIN * (outcome - share);
         self.moved = now;
     }
--- a/crates/routing/src/lives.rs
+++ b/crates/routing/src/incarnations.rs
@@ -12,16 +12,16 @@
 
 /// The latest lives of names that went.
 #[derive(Debug, Default)]
-pub struct LatestLives(BTreeMap<Arc<str>, u64>);
+pub struct LatestIncarnations(BTreeMap<Arc<str>, u64>);
 
-impl LatestLives {
+impl LatestIncarnations {
     /// A back end is listed no more.
     pub fn on_gone(&mut self, id: &BackEndId) {
         if self.0.len() >= MOST_REMEMBERED {
             self.0.clear();
         }
-        if id.life > 0 {
-            self.0.insert(id.name.clone(), id.life);
+        if id.incarnation > 0 {
+            self.0.insert(id.name.clone(), id.incarnation);
         }
     }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -11,19 +11,19 @@
 mod concurrency;
 mod configuration;
 mod connections;
+mod decaying_counter;
 mod digest;
 mod directory;
 mod dispatch;
 mod engine;
 mod evacuation;
-mod fading;
-mod figures;
+mod expired;
 mod fingerprint;
 mod first_event;
 mod gossip;
 mod health;
-mod lapsed;
-mod lives;
+mod incarnations;
+mod load_stats;
 mod overload;
 mod policy;
 mod prompt;
@@ -34,22 +34,22 @@
 mod rollout;
 mod service_level;
 mod shares;
-mod standstill;
+mod source_watchers;
+mod stall;
 mod table;
 mod waiting;
 mod warmup;
-mod watching;
 
-pub use attempt::{Attempt, AttemptState, Verdict};
+pub use attempt::{Attempt, AttemptState, ExecutionStatus};
 pub use back_end::{BackEnd, BackEndId, BackEndList, BackEndState};
 pub use budget::{BudgetLimits, RetryBudget};
-pub use concurrency::{ConcurrencyLimit, EVENTS_OBSERVED, LimitSum, UnloadedPace};
+pub use concurrency::{ConcurrencyLimit, EVENTS_PER_OBSERVATION, LimitSum, UnloadedEventInterval};
 pub use configuration::{
     EngineLimits, Limits, Route, RouteKind, RoutingConfiguration, Service, Target, Tenant,
 };
 pub use connections::ConnectionBounds;
 pub use digest::{
-    Digest, Included, Outgoing, PeerId, PeerMessage, RouterState, Standing, Sum, SumScope,
+    Digest, IncludedDigest, Outgoing, PeerId, PeerMessage, RouterPhase, RouterState, Sum, SumScope,
 };
 pub use directory::{BackEndDirectory, BackEndUpdate, UsableChanges};
 pub use dispatch::{
@@ -58,31 +58,33 @@
 };
 pub use engine::Load;
 pub use evacuation::EvacuatedZones;
-pub use figures::{
-    EngineKey, EngineLevel, EngineLoad, Figures, FiguresSum, ParseEngineKeyError, ServicePace,
-    TenantReport,
-};
+pub use expired::OutageDetector;
 pub use fingerprint::{ParseFingerprintError, RequestFingerprint, RequestIdentity};
 pub use first_event::{FirstEventEstimator, PrefillWork};
 pub use health::{Fault, Health};
-pub use lapsed::OutageWatch;
-pub use overload::{Others, OverloadGuard, Turn};
+pub use load_stats::{
+    EngineKey, EngineLoad, EngineServiceLevel, LoadStats, LoadStatsSum, ParseEngineKeyError,
+    ServiceEventInterval, TenantReport,
+};
+pub use overload::{OverloadGuard, PeerCapacity, Tick};
 pub use policy::{ConcurrencyPolicy, FairCapacity, Policy};
 pub use prompt::{Prompt, PromptPart};
 pub use quarantine::{
-    EndReport, ProbeTurn, Quarantine, QuarantineLimits, QuarantinedRequest, Relaying,
-    RequestStanding,
+    ProbeSlot, Quarantine, QuarantineLimits, QuarantineStatus, QuarantinedRequest, Relaying,
+    TerminationReport,
 };
 pub use regions::{AllowedRegions, ZoneRegions};
 pub use restored::Evacuations;
 pub use revision::{ParseRevisionError, Revision};
 pub use rollout::{
-    ExposureLimits, ReleaseReport, ReleaseTallies, RolloutOrder, RolloutRecord, RolloutState,
-    Rollouts, Tally,
+    AnswerCounts, ExposureLimits, ReleaseCounts, ReleaseReport, RolloutOrder, RolloutRecord,
+    RolloutState, Rollouts,
 };
-pub use service_level::{ACCEPTED_MISSES, LevelCounts, ServiceLevel};
+pub use service_level::{ACCEPTED_MISSES, ServiceLevel, ServiceLevelCounts};
 pub use shares::{Usage, water_level};
-pub use standstill::StandstillWatch;
+pub use source_watchers::{
+    Candidate, SourceContact, StartingRouter, follows_source, watch_timeout,
+};
+pub use stall::StallDetector;
 pub use table::{RouteTable, TableEntry};
 pub use warmup::{Holders, Warmup, WarmupLimits};
-pub use watching::{Candidate, Newcomer, SourceContact, follows_source, watch_wait};
--- a/crates/routing/src/figures.rs
+++ b/crates/routing/src/load_stats.rs
@@ -7,8 +7,8 @@
 use crate::back_end::BackEndId;
 use crate::concurrency::LimitSum;
 use crate::engine::Load;
-use crate::rollout::{ReleaseReport, ReleaseTallies};
-use crate::service_level::LevelCounts;
+use crate::rollout::{ReleaseCounts, ReleaseReport};
+use crate::service_level::ServiceLevelCounts;
 use derive_more::{Display, Error};
 use mastbay_types::short_hash;
 use serde::{Deserialize, Serialize};
@@ -38,9 +38,9 @@
 
 impl From<&BackEndId> for EngineKey {
     fn from(id: &BackEndId) -> Self {
-        Self(match id.life {
+        Self(match id.incarnation {
             0 => short_hash(&[id.name.as_bytes()]),
-            life => short_hash(&[id.name.as_bytes(), &life.to_be_bytes()]),
+            incarnation => short_hash(&[id.name.as_bytes(), &incarnation.to_be_bytes()]),
         })
     }
 }
@@ -68,18 +68,18 @@
 
 /// How well an engine serves, as routers observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineLevel {
+pub struct EngineServiceLevel {
     /// The engine.
     pub engine: EngineKey,
     /// The concurrency limits that the routers found.
     pub limits: LimitSum,
     /// What tenants within their fair share met with there lately.
-    pub level: LevelCounts,
+    pub level: ServiceLevelCounts,
 }
 
 /// The time between events of a service's engines without load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServicePace {
+pub struct ServiceEventInterval {
     /// The service's name.
     pub service: String,
     /// Least time between two events that was observed, in microseconds.
@@ -99,30 +99,30 @@
 
 /// The figures of one router, or the sums over several.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Figures {
+pub struct LoadStats {
     /// What they have at engines; nothing at those that are not listed.
     pub loads: Vec<EngineLoad>,
     /// How well engines serve; left out where the last ones told hold on.
-    pub levels: Option<Vec<EngineLevel>>,
+    pub service_levels: Option<Vec<EngineServiceLevel>>,
     /// What tenants ask of them, by name; left out where the last ones told hold on.
     pub tenants: Option<Vec<TenantReport>>,
     /// Newer rates of the tenants that ask for most, where those of the others are left out.
     pub heaviest: Vec<TenantReport>,
     /// The paces of services that they observed; left out where the last ones told hold on.
-    pub paces: Option<Vec<ServicePace>>,
+    pub event_intervals: Option<Vec<ServiceEventInterval>>,
     /// What they counted of roll-outs.
     pub releases: Vec<ReleaseReport>,
 }
 
-impl Figures {
+impl LoadStats {
     /// Takes newer figures; what they leave out holds on. Gives what they replace.
     pub fn replace(&mut self, newer: Self) -> Self {
         let replaced = Self {
             loads: std::mem::replace(&mut self.loads, newer.loads),
-            levels: take_newer(&mut self.levels, newer.levels),
+            service_levels: take_newer(&mut self.service_levels, newer.service_levels),
             tenants: take_newer(&mut self.tenants, newer.tenants),
             heaviest: Vec::new(),
-            paces: take_newer(&mut self.paces, newer.paces),
+            event_intervals: take_newer(&mut self.event_intervals, newer.event_intervals),
             releases: std::mem::replace(&mut self.releases, newer.releases),
         };
         self.update_tenants(newer.heaviest);
@@ -143,7 +143,7 @@
     }
 
     /// Whether they tell any tenant's rates.
-    pub fn tells_rates(&self) -> bool {
+    pub fn has_tenant_rates(&self) -> bool {
         self.tenants.is_some() || !self.heaviest.is_empty()
     }
 
@@ -157,8 +157,8 @@
     }
 
     /// Engines of which they tell.
-    pub fn engines_told(&self) -> usize {
-        self.loads.len().max(self.levels.as_ref().map_or(0, Vec::len))
+    pub fn engine_count(&self) -> usize {
+        self.loads.len().max(self.service_levels.as_ref().map_or(0, Vec::len))
     }
 
     /// These figures split by engine; those of tenants and services stay with the first part.
@@ -173,12 +173,16 @@
                 .copied()
                 .filter(|entry| entry.engine.part(parts) == part)
                 .collect(),
-            levels: self.levels.as_ref().map(|levels| {
-                levels.iter().copied().filter(|entry| entry.engine.part(parts) == part).collect()
+            service_levels: self.service_levels.as_ref().map(|service_levels| {
+                service_levels
+                    .iter()
+                    .copied()
+                    .filter(|entry| entry.engine.part(parts) == part)
+                    .collect()
             }),
             tenants: self.tenants.clone().filter(|_| part == 0),
             heaviest: if part == 0 { self.heaviest.clone() } else { Vec::new() },
-            paces: self.paces.clone().filter(|_| part == 0),
+            event_intervals: self.event_intervals.clone().filter(|_| part == 0),
             releases: if part == 0 { self.releases.clone() } else { Vec::new() },
         };
         (0..parts).map(of_part).collect()
@@ -205,44 +209,44 @@
 
 /// Adds up figures.
 #[derive(Debug, Clone, Default)]
-pub struct FiguresSum {
+pub struct LoadStatsSum {
     loads: BTreeMap<EngineKey, Load>,
-    levels: BTreeMap<EngineKey, (LimitSum, LevelCounts)>,
+    service_levels: BTreeMap<EngineKey, (LimitSum, ServiceLevelCounts)>,
     /// Rates asked and given.
     tenants: BTreeMap<String, (f32, f32)>,
-    paces: BTreeMap<String, u32>,
+    event_intervals: BTreeMap<String, u32>,
     /// Counts by order and route.
-    releases: BTreeMap<(u32, u32), ReleaseTallies>,
+    releases: BTreeMap<(u32, u32), ReleaseCounts>,
 }
 
-impl FiguresSum {
+impl LoadStatsSum {
     /// Adds what one more router, or several, have at engines.
-    pub fn add_loads(&mut self, figures: &Figures) {
-        for entry in &figures.loads {
+    pub fn add_loads(&mut self, stats: &LoadStats) {
+        for entry in &stats.loads {
             self.loads.entry(entry.engine).or_default().add(entry.load);
         }
     }
 
     /// Adds what one more router, or several, counted of roll-outs.
-    pub fn add_releases(&mut self, figures: &Figures) {
-        figures.releases.iter().for_each(|report| self.add_release(report));
+    pub fn add_releases(&mut self, stats: &LoadStats) {
+        stats.releases.iter().for_each(|report| self.add_release(report));
     }
 
     /// Adds one count.
     pub fn add_release(&mut self, report: &ReleaseReport) {
-        self.releases.entry((report.order, report.route)).or_default().add(report.tallies);
+        self.releases.entry((report.order, report.route)).or_default().add(report.counts);
     }
 
     /// The counts of roll-outs that were added.
     pub fn release_reports(&self) -> Vec<ReleaseReport> {
         let releases = self.releases.iter();
-        let report = |(&(order, route), &tallies)| ReleaseReport { order, route, tallies };
+        let report = |(&(order, route), &counts)| ReleaseReport { order, route, counts };
         releases.map(report).collect()
     }
 
     /// Adds what tenants ask of one more router, or of several.
-    pub fn add_rates(&mut self, figures: &Figures) {
-        for tenant in figures.tenants.iter().flatten() {
+    pub fn add_rates(&mut self, stats: &LoadStats) {
+        for tenant in stats.tenants.iter().flatten() {
             match self.tenants.get_mut(&tenant.name) {
                 Some((asked, given)) => {
                     *asked += tenant.asked;
@@ -256,20 +260,20 @@
     }
 
     /// Adds those figures of one more router, or of several, that change slowly.
-    pub fn add_slow_ones(&mut self, figures: &Figures) {
-        for entry in figures.levels.iter().flatten() {
-            let (limits, level) = self.levels.entry(entry.engine).or_default();
+    pub fn add_slow_changing(&mut self, stats: &LoadStats) {
+        for entry in stats.service_levels.iter().flatten() {
+            let (limits, level) = self.service_levels.entry(entry.engine).or_default();
             limits.add(entry.limits);
             level.add(entry.level);
         }
-        for pace in figures.paces.iter().flatten() {
-            let least = self.paces.entry(pace.service.clone()).or_insert(u32::MAX);
+        for pace in stats.event_intervals.iter().flatten() {
+            let least = self.event_intervals.entry(pace.service.clone()).or_insert(u32::MAX);
             *least = pace.unloaded_micros.min(*least);
         }
     }
 
     /// The sums, all of them or only loads and rates.
-    pub fn into_figures(self, with_slow_ones: bool) -> Figures {
+    pub fn into_stats(self, with_slow_ones: bool) -> LoadStats {
         let releases = self.release_reports();
         let loads = self.loads.into_iter().map(|(engine, load)| EngineLoad { engine, load });
         let loads = loads.collect();
@@ -277,21 +281,22 @@
         let tenants =
             tenants.map(|(name, (asked, given))| TenantReport { name, asked, given }).collect();
         if !with_slow_ones {
-            return Figures { loads, tenants: Some(tenants), releases, ..Figures::default() };
+            return LoadStats { loads, tenants: Some(tenants), releases, ..LoadStats::default() };
         }
-        let levels = self.levels.into_iter();
-        let levels =
-            levels.map(|(engine, (limits, level))| EngineLevel { engine, limits, level }).collect();
-        let paces = self.paces.into_iter();
-        let paces = paces
-            .map(|(service, unloaded_micros)| ServicePace { service, unloaded_micros })
+        let service_levels = self.service_levels.into_iter();
+        let service_levels = service_levels
+            .map(|(engine, (limits, level))| EngineServiceLevel { engine, limits, level })
             .collect();
-        Figures {
+        let event_intervals = self.event_intervals.into_iter();
+        let event_intervals = event_intervals
+            .map(|(service, unloaded_micros)| ServiceEventInterval { service, unloaded_micros })
+            .collect();
+        LoadStats {
             loads,
-            levels: Some(levels),
+            service_levels: Some(service_levels),
             tenants: Some(tenants),
             heaviest: Vec::new(),
-            paces: Some(paces),
+            event_intervals: Some(event_intervals),
             releases,
         }
     }
--- a/crates/routing/src/overload.rs
+++ b/crates/routing/src/overload.rs
@@ -44,7 +44,7 @@
 
 /// A periodic turn that the router has taken.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Turn {
+pub struct Tick {
     /// Time between two turns as planned.
     pub period: Duration,
     /// Time by which this one came late.
@@ -52,12 +52,12 @@
     /// Open connections of callers over the most that may be open.
     pub connections: f64,
     /// The other routers.
-    pub others: Others,
+    pub peers: PeerCapacity,
 }
 
 /// What a router knows of the others when it weighs whether they can take its callers.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Others {
+pub struct PeerCapacity {
     /// Those in this router's zone.
     pub in_zone: usize,
     /// Those in this router's zone that shed.
@@ -80,7 +80,7 @@
 
 impl OverloadGuard {
     /// The router has taken a turn. Gives the new state if it changes: whether it sheds.
-    pub fn on_turn(&mut self, now: Timestamp, turn: Turn) -> Option<bool> {
+    pub fn on_tick(&mut self, now: Timestamp, turn: Tick) -> Option<bool> {
         self.average(turn);
         match self.shedding_until {
             Some(until) if now < until => None,
@@ -93,8 +93,8 @@
                 self.ended = Some(now);
                 Some(false)
             }
-            None if self.is_overloaded(turn) && may_shed(turn.others) => {
-                self.shed(now, self.next_span(now, turn.others));
+            None if self.is_overloaded(turn) && may_shed(turn.peers) => {
+                self.shed(now, self.next_span(now, turn.peers));
                 Some(true)
             }
             None => None,
@@ -108,12 +108,12 @@
 
     /// The part of new connections to turn away unread: their callers connect to another router at once,
     /// while here their requests would wait behind all others.
-    pub fn turned_away_part(&self) -> f64 {
+    pub fn rejected_fraction(&self) -> f64 {
         self.part_between(TURNING_AWAY)
     }
 
     /// The part of new connections to hand to peers that have room.
-    pub fn offloaded_part(&self) -> f64 {
+    pub fn offloaded_fraction(&self) -> f64 {
         self.part_between(OFFLOADING)
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Whether the router should spend less on each request, at the price of small delays.
-    pub fn is_pressed(&self) -> bool {
+    pub fn is_under_pressure(&self) -> bool {
         self.recent_lateness > PRESSED
     }
 
@@ -132,7 +132,7 @@
         self.lateness
     }
 
-    fn average(&mut self, turn: Turn) {
+    fn average(&mut self, turn: Tick) {
         let passed = (turn.period + turn.lag).as_secs_f64();
         let late = turn.lag.as_secs_f64() / passed.max(f64::MIN_POSITIVE);
         let passed = passed.min(LONGEST_TURN.as_secs_f64());
@@ -140,8 +140,8 @@
         self.recent_lateness += gain(passed, SHORT_MEMORY) * (late - self.recent_lateness);
     }
 
-    fn next_span(&self, now: Timestamp, others: Others) -> Duration {
-        if others.larger > 0.0 {
+    fn next_span(&self, now: Timestamp, peers: PeerCapacity) -> Duration {
+        if peers.larger > 0.0 {
             return SHED_TO_LARGER;
         }
         let relapsed = self.ended.is_some_and(|ended| now.since(ended) < RELAPSE);
@@ -149,7 +149,7 @@
         span.min(LONGEST_SHED)
     }
 
-    fn is_overloaded(&self, turn: Turn) -> bool {
+    fn is_overloaded(&self, turn: Tick) -> bool {
         self.lateness > OVERLOADED || turn.connections > CONNECTIONS_PART
     }
 
@@ -160,10 +160,10 @@
 }
 
 /// Whether others can take the callers: not if many shed already, nor if most are much smaller.
-fn may_shed(others: Others) -> bool {
-    let zone = others.in_zone + 1;
+fn may_shed(peers: PeerCapacity) -> bool {
+    let zone = peers.in_zone + 1;
     let most = if zone > 1 { ((zone as f64 * MOST_SHEDDING) as usize).max(1) } else { 0 };
-    others.shedding < most && others.smaller < MOSTLY_SMALLER
+    peers.shedding < most && peers.smaller < MOSTLY_SMALLER
 }
 
 /// The weight of what was seen in the last `passed` seconds.
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -37,7 +37,7 @@
     pub late_slack: f64,
     /// Part of the objective for which a request waits for the engine that holds its prefix before another
     /// one prefills it again.
-    pub locality_wait: f64,
+    pub locality_wait_fraction: f64,
     /// Most of an engine's slots, as a part, that are left for tenants below half of their share whose
     /// requests could not be placed.
     pub reserve_below_half: f64,
@@ -50,11 +50,11 @@
     /// above it are given less.
     pub accepted_misses: f64,
     /// Part of the objective within which the first event of a tenant above the fair share is predicted.
-    pub above_share_time: f64,
+    pub above_share_time_fraction: f64,
     /// Part of the objective within which every other first event is predicted.
-    pub time_part: f64,
+    pub time_fraction: f64,
     /// Part of the objective for which a request may wait before it is refused.
-    pub hold_part: f64,
+    pub wait_fraction: f64,
     /// Whether tenants are held to the fair share. If not, all are treated alike.
     pub fair_share: bool,
     /// The capacity that fair shares are parts of.
@@ -70,14 +70,14 @@
             preferred_engines: 2,
             preferred_engines_cheap: 5,
             late_slack: 1.1,
-            locality_wait: 0.15,
+            locality_wait_fraction: 0.15,
             reserve_below_half: 0.4,
             slowdown: 3.0,
             strained_slowdown: 1.5,
             accepted_misses: ACCEPTED_MISSES,
-            above_share_time: 0.6,
-            time_part: 0.9,
-            hold_part: 0.25,
+            above_share_time_fraction: 0.6,
+            time_fraction: 0.9,
+            wait_fraction: 0.25,
             fair_share: true,
             fair_capacity: FairCapacity::Served,
             latency_ratio: true,
--- a/crates/routing/src/prompt.rs
+++ b/crates/routing/src/prompt.rs
@@ -19,7 +19,7 @@
     /// Tokens of the whole prompt.
     pub input_tokens: u32,
     /// Most tokens that come out.
-    pub most_output_tokens: u32,
+    pub max_output_tokens: u32,
     /// The caller's guess of the tokens that come out.
     pub output_hint: Option<u32>,
 }
@@ -27,7 +27,7 @@
 impl Prompt {
     /// Tokens that are expected to come out.
     pub fn expected_output(&self) -> u32 {
-        self.output_hint.map_or(self.most_output_tokens, |hint| hint.min(self.most_output_tokens))
+        self.output_hint.map_or(self.max_output_tokens, |hint| hint.min(self.max_output_tokens))
     }
 
     /// Service that the request is charged with: a token read counts once, one made twice.
--- a/crates/routing/src/quarantine/messages.rs
+++ b/crates/routing/src/quarantine/messages.rs
@@ -1,13 +1,13 @@
 //! What routers tell each other of requests under which back ends ended, and what is known of one.
 
-use crate::figures::EngineKey;
 use crate::fingerprint::RequestFingerprint;
+use crate::load_stats::EngineKey;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 /// A life of a back end that ended under a request, as routers tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndReport {
+pub struct TerminationReport {
     /// The request.
     pub request: RequestFingerprint,
     /// The life that ended.
@@ -20,7 +20,7 @@
 
 /// What is known of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestStanding {
+pub enum QuarantineStatus {
     /// Nothing that speaks against it.
     Clear,
     /// Back ends ended under it, fewer than the limit.
@@ -47,9 +47,9 @@
 
 /// A router's place in an order of all routers that each of them knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ProbeTurn {
+pub struct ProbeSlot {
     /// Its place, from 0.
-    pub place: u64,
+    pub index: u64,
     /// All routers.
     pub routers: u64,
 }
--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -6,14 +6,14 @@
 //! that no end counts twice, however often and by whomever it is told.
 
 mod messages;
+mod reporting;
 mod suspicion;
-mod telling;
 
-pub use messages::{EndReport, ProbeTurn, QuarantinedRequest, Relaying, RequestStanding};
+pub use messages::{ProbeSlot, QuarantineStatus, QuarantinedRequest, Relaying, TerminationReport};
 
-use crate::figures::EngineKey;
 use crate::fingerprint::RequestFingerprint;
-use crate::gossip::{GossipQueue, TELLINGS};
+use crate::gossip::{GossipQueue, TRANSMISSIONS};
+use crate::load_stats::EngineKey;
 use mastbay_types::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -60,16 +60,16 @@
     }
 
     /// What is known of a request.
-    pub fn standing(&self, now: Timestamp, request: RequestFingerprint) -> RequestStanding {
-        let Some(suspicion) = self.requests.get(&request) else { return RequestStanding::Clear };
+    pub fn status(&self, now: Timestamp, request: RequestFingerprint) -> QuarantineStatus {
+        let Some(suspicion) = self.requests.get(&request) else { return QuarantineStatus::Clear };
         if let Some(until) = suspicion.quarantined_until(now, &self.limits) {
             let left = until.since(now);
             let retry_after = suspicion.until_probes(now, &self.limits).min(left);
-            return RequestStanding::Quarantined { left, retry_after };
+            return QuarantineStatus::Quarantined { left, retry_after };
         }
         match suspicion.counted(now).next() {
-            Some(_) => RequestStanding::Suspect,
-            None => RequestStanding::Clear,
+            Some(_) => QuarantineStatus::Suspect,
+            None => QuarantineStatus::Clear,
         }
     }
 
@@ -79,26 +79,26 @@
         &mut self,
         now: Timestamp,
         request: RequestFingerprint,
-        turn: ProbeTurn,
+        turn: ProbeSlot,
     ) -> bool {
         let suspicion = self.requests.get_mut(&request);
         suspicion.is_some_and(|suspicion| suspicion.take_probe(now, &self.limits, turn))
     }
 
     /// Ends that count against a request.
-    pub fn ends(&self, now: Timestamp, request: RequestFingerprint) -> usize {
+    pub fn terminations(&self, now: Timestamp, request: RequestFingerprint) -> usize {
         self.requests.get(&request).map_or(0, |suspicion| suspicion.counted(now).count())
     }
 
     /// A back end ended under a request of this router. Gives the request if it is quarantined by that.
-    pub fn on_end(
+    pub fn on_termination(
         &mut self,
         now: Timestamp,
         back_end: EngineKey,
         request: RequestFingerprint,
     ) -> Option<QuarantinedRequest> {
         let until = now + self.limits.period;
-        self.merge(now, request, back_end, End { until, is_cleared: false }, TELLINGS)
+        self.merge(now, request, back_end, End { until, is_cleared: false }, TRANSMISSIONS)
     }
 
     /// A request was served to its end, so no end before that was its doing; or an operator lifts its quarantine.
@@ -107,7 +107,7 @@
         let news = &mut self.news;
         for (back_end, end) in suspicion.ends.iter_mut().filter(|(_, end)| !end.is_cleared) {
             end.is_cleared = true;
-            news.push((request, *back_end), TELLINGS);
+            news.push((request, *back_end), TRANSMISSIONS);
         }
     }
 
@@ -115,10 +115,10 @@
     pub fn on_reports(
         &mut self,
         now: Timestamp,
-        reports: &[EndReport],
+        reports: &[TerminationReport],
         relaying: Relaying,
     ) -> Vec<QuarantinedRequest> {
-        let tellings = if relaying == Relaying::All { TELLINGS } else { 0 };
+        let tellings = if relaying == Relaying::All { TRANSMISSIONS } else { 0 };
         let merged = reports.iter().filter_map(|report| {
             let counts_for = Duration::from_millis(report.counts_for_ms.into());
             let until = now + counts_for.min(self.limits.period);
@@ -134,7 +134,7 @@
         for back_end in &listed.back_ends {
             let until = now + listed.left.min(self.limits.period);
             let end = End { until, is_cleared: false };
-            is_news |= self.merge(now, listed.request, *back_end, end, TELLINGS).is_some();
+            is_news |= self.merge(now, listed.request, *back_end, end, TRANSMISSIONS).is_some();
         }
         is_news
     }
--- a/crates/routing/src/quarantine/telling.rs
+++ b/crates/routing/src/quarantine/reporting.rs
@@ -1,8 +1,8 @@
 //! What a router tells others of ends, and when.
 
-use super::{EndReport, Quarantine, QuarantinedRequest};
-use crate::figures::EngineKey;
+use super::{Quarantine, QuarantinedRequest, TerminationReport};
 use crate::fingerprint::RequestFingerprint;
+use crate::load_stats::EngineKey;
 use mastbay_types::Timestamp;
 
 /// Reports in one message; each takes some 40 bytes.
@@ -14,7 +14,7 @@
 
 impl Quarantine {
     /// What this router tells others in one round; often nothing.
-    pub fn next_reports(&mut self, now: Timestamp) -> Vec<EndReport> {
+    pub fn next_reports(&mut self, now: Timestamp) -> Vec<TerminationReport> {
         self.round += 1;
         let due = self.news.next_round(REPORTS_PER_MESSAGE);
         due.into_iter()
@@ -23,7 +23,7 @@
     }
 
     /// What reminds others of requests that are quarantined; nothing in most rounds.
-    pub fn next_reminder(&mut self, now: Timestamp) -> Vec<EndReport> {
+    pub fn next_reminder(&mut self, now: Timestamp) -> Vec<TerminationReport> {
         if self.is_empty() || !self.round.is_multiple_of(ROUNDS_PER_REMINDER) {
             return Vec::new();
         }
@@ -36,14 +36,18 @@
     }
 
     /// What a router must know that has just come: the requests that are quarantined, as many as one message holds.
-    pub fn reports_for_newcomer(&self, now: Timestamp) -> Vec<EndReport> {
+    pub fn reports_for_new_peer(&self, now: Timestamp) -> Vec<TerminationReport> {
         let mut reports = self.reports_of(now, &self.quarantined(now));
         reports.truncate(REPORTS_PER_MESSAGE);
         reports
     }
 
     /// As many ends of each request as quarantine it, and one more: it tells that it was probed.
-    fn reports_of(&self, now: Timestamp, quarantined: &[QuarantinedRequest]) -> Vec<EndReport> {
+    fn reports_of(
+        &self,
+        now: Timestamp,
+        quarantined: &[QuarantinedRequest],
+    ) -> Vec<TerminationReport> {
         let reports = quarantined.iter().flat_map(|quarantined| {
             let ends = quarantined.back_ends.iter().take(self.limits.ends + 1);
             ends.filter_map(|back_end| self.report(now, quarantined.request, *back_end))
@@ -56,10 +60,10 @@
         now: Timestamp,
         request: RequestFingerprint,
         back_end: EngineKey,
-    ) -> Option<EndReport> {
+    ) -> Option<TerminationReport> {
         let end = self.requests.get(&request)?.ends.get(&back_end)?;
         let left = end.until.since(now).as_millis();
         let counts_for_ms = u32::try_from(left).unwrap_or(u32::MAX);
-        Some(EndReport { request, back_end, counts_for_ms, is_cleared: end.is_cleared })
+        Some(TerminationReport { request, back_end, counts_for_ms, is_cleared: end.is_cleared })
     }
 }
--- a/crates/routing/src/quarantine/suspicion.rs
+++ b/crates/routing/src/quarantine/suspicion.rs
@@ -1,7 +1,7 @@
 //! What is known of one request under which back ends ended, and when it may be probed.
 
-use super::{ProbeTurn, QuarantineLimits};
-use crate::figures::EngineKey;
+use super::{ProbeSlot, QuarantineLimits};
+use crate::load_stats::EngineKey;
 use mastbay_types::Timestamp;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -75,14 +75,14 @@
         &mut self,
         now: Timestamp,
         limits: &QuarantineLimits,
-        turn: ProbeTurn,
+        turn: ProbeSlot,
     ) -> bool {
         let from = self.probed_from(now, limits);
         let Some(from) = from.filter(|from| *from <= now) else { return false };
         let waited = now.since(from);
         let window = (waited.as_micros() / PROBE_WINDOW.as_micros()) as u64;
         let into_window = waited - PROBE_WINDOW * u32::try_from(window).unwrap_or(u32::MAX);
-        let is_turn = window % turn.routers.max(1) == turn.place;
+        let is_turn = window % turn.routers.max(1) == turn.index;
         if !is_turn || !PROBE_OPEN.contains(&into_window) || self.probed == Some(window) {
             return false;
         }
--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether all regions may serve.
-    pub fn are_all(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.0.is_none()
     }
 }
--- a/crates/routing/src/rollout/tally.rs
+++ b/crates/routing/src/rollout/counts.rs
@@ -1,6 +1,6 @@
 //! Counts of good and bad answers of both sides of a roll-out, by route.
 
-use super::{AnswerQuality, Side};
+use super::{AnswerOutcome, Side};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -12,14 +12,14 @@
 
 /// Answers, and the bad ones among them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Tally {
+pub struct AnswerCounts {
     /// All answers, and requests that never got one.
     pub answers: u32,
     /// Those that failed, were slow or never came.
     pub bad: u32,
 }
 
-impl Tally {
+impl AnswerCounts {
     /// Adds another one.
     pub fn add(&mut self, other: Self) {
         self.answers = self.answers.saturating_add(other.answers);
@@ -29,17 +29,17 @@
 
 /// Counts of both sides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ReleaseTallies {
+pub struct ReleaseCounts {
     /// The versions that were there before.
-    pub before: Tally,
+    pub baseline: AnswerCounts,
     /// The version that is rolled out.
-    pub canary: Tally,
+    pub canary: AnswerCounts,
 }
 
-impl ReleaseTallies {
+impl ReleaseCounts {
     /// Adds others.
     pub fn add(&mut self, other: Self) {
-        self.before.add(other.before);
+        self.baseline.add(other.baseline);
         self.canary.add(other.canary);
     }
 }
@@ -53,40 +53,40 @@
     /// A hash of the route's name.
     pub route: u32,
     /// The counts.
-    pub tallies: ReleaseTallies,
+    pub counts: ReleaseCounts,
 }
 
 #[derive(Debug, Default)]
-struct RouteTallies {
-    tallies: ReleaseTallies,
+struct RouteCounts {
+    counts: ReleaseCounts,
     /// The usual time of answers of the versions before.
     usual: Option<f64>,
 }
 
 /// What this router counted, by route.
 #[derive(Debug, Default)]
-pub struct OwnTallies(BTreeMap<u32, RouteTallies>);
+pub struct OwnCounts(BTreeMap<u32, RouteCounts>);
 
-impl OwnTallies {
+impl OwnCounts {
     /// A request was answered, or was not.
-    pub fn on_answer(&mut self, route: u32, side: Side, answer: AnswerQuality) {
+    pub fn on_answer(&mut self, route: u32, side: Side, answer: AnswerOutcome) {
         let counted = self.0.entry(route).or_default();
         let is_bad = match answer {
-            AnswerQuality::Failed => true,
-            AnswerQuality::Came(time) => {
+            AnswerOutcome::Failed => true,
+            AnswerOutcome::Answered(time) => {
                 let is_slow = counted.usual.is_some_and(|usual| time > usual * SLOW_TIMES);
-                if side == Side::Before {
+                if side == Side::Baseline {
                     let usual = counted.usual.get_or_insert(time);
                     *usual += USUAL_GAIN * (time.min(*usual * SLOW_TIMES) - *usual);
                 }
                 is_slow
             }
         };
-        let tally = match side {
-            Side::Before => &mut counted.tallies.before,
-            Side::Canary => &mut counted.tallies.canary,
+        let counts = match side {
+            Side::Baseline => &mut counted.counts.baseline,
+            Side::Canary => &mut counted.counts.canary,
         };
-        tally.add(Tally { answers: 1, bad: u32::from(is_bad) });
+        counts.add(AnswerCounts { answers: 1, bad: u32::from(is_bad) });
     }
 
     /// The counts as they are told to others.
@@ -94,7 +94,7 @@
         self.0.iter().map(move |(route, counted)| ReleaseReport {
             order,
             route: *route,
-            tallies: counted.tallies,
+            counts: counted.counts,
         })
     }
 }
--- a/crates/routing/src/rollout/verdict.rs
+++ b/crates/routing/src/rollout/evaluation.rs
@@ -2,11 +2,11 @@
 //!
 //! A bad day of everyone is no bad version, so the share of bad answers of the other versions is what is expected of this one.
 
-use super::tally::{ReleaseReport, ReleaseTallies};
+use super::counts::{ReleaseCounts, ReleaseReport};
 
 /// What the counts say of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Judgement {
+pub enum CanaryEvaluation {
     /// It answers worse than the versions beside it.
     Bad,
     /// It answers as they do.
@@ -28,23 +28,23 @@
 const ENOUGH_ANSWERS: u32 = 20;
 
 /// Judges an order by the reports on it: over all routes and on each of them.
-pub fn judge(reports: &[&ReleaseReport]) -> Judgement {
-    let mut all = ReleaseTallies::default();
-    reports.iter().for_each(|report| all.add(report.tallies));
-    let is_bad_on_one = reports.iter().any(|report| is_bad(report.tallies));
+pub fn judge(reports: &[&ReleaseReport]) -> CanaryEvaluation {
+    let mut all = ReleaseCounts::default();
+    reports.iter().for_each(|report| all.add(report.counts));
+    let is_bad_on_one = reports.iter().any(|report| is_bad(report.counts));
     if is_bad_on_one || is_bad(all) {
-        Judgement::Bad
+        CanaryEvaluation::Bad
     } else if all.canary.answers >= ENOUGH_ANSWERS {
-        Judgement::Good
+        CanaryEvaluation::Good
     } else {
-        Judgement::Unclear
+        CanaryEvaluation::Unclear
     }
 }
 
-fn is_bad(ReleaseTallies { before, canary }: ReleaseTallies) -> bool {
+fn is_bad(ReleaseCounts { baseline, canary }: ReleaseCounts) -> bool {
     let answers = f64::from(canary.answers);
-    let share = (f64::from(before.bad) + PRIOR_SHARE * PRIOR_ANSWERS)
-        / (f64::from(before.answers) + PRIOR_ANSWERS);
+    let share = (f64::from(baseline.bad) + PRIOR_SHARE * PRIOR_ANSWERS)
+        / (f64::from(baseline.answers) + PRIOR_ANSWERS);
     let expected = answers * share;
     let deviation = (answers * share * (1.0 - share).max(0.0)).sqrt();
     f64::from(canary.bad) > expected + DEVIATIONS * deviation + LEAST_EXCESS
--- a/crates/routing/src/rollout/exposure.rs
+++ b/crates/routing/src/rollout/exposure.rs
@@ -37,7 +37,7 @@
     /// A request was sent.
     pub fn on_sent(&mut self, side: Side) {
         match side {
-            Side::Before => self.before += 1,
+            Side::Baseline => self.before += 1,
             Side::Canary => self.canary += 1,
         }
     }
--- a/crates/routing/src/rollout/mod.rs
+++ b/crates/routing/src/rollout/mod.rs
@@ -5,23 +5,23 @@
 //! those beside it at the same time and on the same route, is added up over the fleet with the other figures. A version that is found
 //! bad gets nothing from then on; one that is found good takes all when the time of the order is nearly over.
 
+mod counts;
+mod evaluation;
 mod exposure;
 mod order;
-mod tally;
-mod verdict;
 
+pub use counts::{AnswerCounts, ReleaseCounts, ReleaseReport};
+pub use evaluation::CanaryEvaluation;
 pub use exposure::ExposureLimits;
 pub use order::{RolloutOrder, RolloutState, Rollouts};
-pub use tally::{ReleaseReport, ReleaseTallies, Tally};
-pub use verdict::Judgement;
 
 use crate::back_end::BackEnd;
+use counts::OwnCounts;
 use exposure::Exposure;
 use mastbay_types::Timestamp;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use tally::OwnTallies;
 
 /// Time before the end of an order at which its verdict is due: it has to be written and heard everywhere by then.
 const VERDICT_MARGIN: Duration = Duration::from_millis(1_500);
@@ -33,7 +33,7 @@
 
 /// The versions of a service to which a request may go.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub enum ReleaseChoice {
+pub enum VersionFilter {
     /// Any.
     #[default]
     Any,
@@ -43,7 +43,7 @@
     Except(Arc<str>),
 }
 
-impl ReleaseChoice {
+impl VersionFilter {
     /// Whether a back end of a version may serve.
     pub fn allows(&self, version: &str) -> bool {
         match self {
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Side {
     /// The versions that were there before.
-    Before,
+    Baseline,
     /// The version that is rolled out.
     Canary,
 }
@@ -80,7 +80,7 @@
     recorded: RolloutState,
     began: Timestamp,
     exposure: Exposure,
-    own: OwnTallies,
+    own: OwnCounts,
     /// When it was learned that the order came to its end.
     ended: Option<Timestamp>,
     /// The version was found bad here or elsewhere. Never taken back: figures of routers that are gone no longer count.
@@ -95,7 +95,7 @@
             order,
             began: now,
             exposure: Exposure::default(),
-            own: OwnTallies::default(),
+            own: OwnCounts::default(),
             is_bad: false,
         }
     }
@@ -107,12 +107,12 @@
     }
 
     /// Where requests go that are not part of the canary.
-    pub fn usual_choice(&self, now: Timestamp) -> ReleaseChoice {
+    pub fn default_filter(&self, now: Timestamp) -> VersionFilter {
         let is_recent = self.ended.is_some_and(|ended| now.since(ended) < OTHERS_END);
         match self.order.state {
-            RolloutState::Completed if is_recent => ReleaseChoice::Only(self.order.version.clone()),
-            RolloutState::Completed => ReleaseChoice::Any,
-            _ => ReleaseChoice::Except(self.order.version.clone()),
+            RolloutState::Completed if is_recent => VersionFilter::Only(self.order.version.clone()),
+            RolloutState::Completed => VersionFilter::Any,
+            _ => VersionFilter::Except(self.order.version.clone()),
         }
     }
 
@@ -129,7 +129,7 @@
 
     /// The side on which a back end is.
     pub fn side(&self, back_end: &BackEnd) -> Side {
-        if *back_end.version == *self.order.version { Side::Canary } else { Side::Before }
+        if *back_end.version == *self.order.version { Side::Canary } else { Side::Baseline }
     }
 
     /// A request was sent.
@@ -138,7 +138,7 @@
     }
 
     /// A request was answered, or was not.
-    pub fn on_answer(&mut self, route: u32, side: Side, answer: AnswerQuality) {
+    pub fn on_answer(&mut self, route: u32, side: Side, answer: AnswerOutcome) {
         self.own.on_answer(route, side, answer);
     }
 
@@ -156,16 +156,16 @@
         let key = self.order.key();
         let of_order: Vec<&ReleaseReport> =
             fleet.iter().filter(|report| report.order == key).collect();
-        let judgement = verdict::judge(&of_order);
-        self.is_bad |= judgement == Judgement::Bad;
+        let judgement = evaluation::judge(&of_order);
+        self.is_bad |= judgement == CanaryEvaluation::Bad;
         if self.is_bad {
             return Some(RolloutState::Reverted);
         }
         let margin = VERDICT_MARGIN.min(self.order.duration.mul_f64(LARGEST_MARGIN_PART));
         if now.since(self.began) + margin >= self.order.duration {
             return Some(match judgement {
-                Judgement::Good => RolloutState::Completed,
-                Judgement::Bad | Judgement::Unclear => RolloutState::Reverted,
+                CanaryEvaluation::Good => RolloutState::Completed,
+                CanaryEvaluation::Bad | CanaryEvaluation::Unclear => RolloutState::Reverted,
             });
         }
         (self.order.state == RolloutState::Ordered).then_some(RolloutState::InProgress)
@@ -174,20 +174,20 @@
 
 /// What an answer was like.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum AnswerQuality {
+pub enum AnswerOutcome {
     /// It came; the time is that to its first byte, in times of what such a request was expected to take.
-    Came(f64),
+    Answered(f64),
     /// It failed or never came.
     Failed,
 }
 
 /// The orders under way, by service.
 #[derive(Debug, Default)]
-pub struct RolloutBook {
+pub struct RolloutRegistry {
     rollouts: BTreeMap<String, Rollout>,
 }
 
-impl RolloutBook {
+impl RolloutRegistry {
     /// Takes the orders as they stand now. One that goes on keeps what was counted; another one begins anew.
     pub fn on_orders(&mut self, now: Timestamp, orders: &Rollouts) {
         let mut known = std::mem::take(&mut self.rollouts);
@@ -217,7 +217,7 @@
     }
 
     /// Judges all roll-outs by what the fleet counted, and gives the states that are to be recorded.
-    pub fn judge(&mut self, now: Timestamp, fleet: &[ReleaseReport]) -> Vec<RolloutRecord> {
+    pub fn evaluate(&mut self, now: Timestamp, fleet: &[ReleaseReport]) -> Vec<RolloutRecord> {
         let rollouts = self.rollouts.values_mut();
         let records = rollouts.filter_map(|rollout| {
             let state = rollout.judge(now, fleet)?;
--- a/crates/routing/src/service_level.rs
+++ b/crates/routing/src/service_level.rs
@@ -1,7 +1,7 @@
 //! How well tenants within their fair share are served at an engine: the error budget that decides how much
 //! work of tenants above their share the engine is given.
 
-use crate::fading::FadingCount;
+use crate::decaying_counter::DecayingCounter;
 use mastbay_types::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -19,14 +19,14 @@
 
 /// Requests of tenants within their share over the last moments, in hundredths of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct LevelCounts {
+pub struct ServiceLevelCounts {
     /// Those that were served or refused.
     pub requests: u32,
     /// Those of them that were not served within their objective.
     pub missed: u32,
 }
 
-impl LevelCounts {
+impl ServiceLevelCounts {
     /// Adds another router's counts.
     pub fn add(&mut self, other: Self) {
         self.requests += other.requests;
@@ -40,7 +40,7 @@
     }
 
     /// The share of requests that missed their objective, drawn toward what is accepted while few were seen.
-    pub fn missed_share(&self) -> f64 {
+    pub fn miss_rate(&self) -> f64 {
         let (requests, missed) = (f64::from(self.requests), f64::from(self.missed));
         let prior = PRIOR_REQUESTS * HUNDREDTHS;
         (missed + ACCEPTED_MISSES * prior) / (requests + prior)
@@ -50,13 +50,13 @@
 /// Counts of one router at one engine.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceLevel {
-    requests: FadingCount,
-    missed: FadingCount,
+    requests: DecayingCounter,
+    missed: DecayingCounter,
 }
 
 impl Default for ServiceLevel {
     fn default() -> Self {
-        Self { requests: FadingCount::new(WINDOW), missed: FadingCount::new(WINDOW) }
+        Self { requests: DecayingCounter::new(WINDOW), missed: DecayingCounter::new(WINDOW) }
     }
 }
 
@@ -68,8 +68,8 @@
     }
 
     /// The counts as they stand at `now`.
-    pub fn counts(&self, now: Timestamp) -> LevelCounts {
-        LevelCounts {
+    pub fn counts(&self, now: Timestamp) -> ServiceLevelCounts {
+        ServiceLevelCounts {
             requests: (self.requests.at(now) * HUNDREDTHS) as u32,
             missed: (self.missed.at(now) * HUNDREDTHS) as u32,
         }
--- a/crates/routing/src/shares.rs
+++ b/crates/routing/src/shares.rs
@@ -1,7 +1,7 @@
 //! What tenants ask for and are given, and the fair level that follows from it.
 
-use crate::fading::FadingCount;
-use crate::figures::TenantReport;
+use crate::decaying_counter::DecayingCounter;
+use crate::load_stats::TenantReport;
 use mastbay_types::Timestamp;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 /// Tokens that one tenant asked for and was given.
 #[derive(Debug, Clone, Copy)]
 struct TenantUsage {
-    asked: FadingCount,
-    given: FadingCount,
+    asked: DecayingCounter,
+    given: DecayingCounter,
 }
 
 impl TenantUsage {
     fn new(window: Duration) -> Self {
-        Self { asked: FadingCount::new(window), given: FadingCount::new(window) }
+        Self { asked: DecayingCounter::new(window), given: DecayingCounter::new(window) }
     }
 
     /// The rates at `now`, in tokens a second. What a window holds that is not full yet is divided by the part that is, so
--- a/crates/routing/src/watching.rs
+++ b/crates/routing/src/source_watchers.rs
@@ -62,7 +62,7 @@
 
 /// A router that has just started and knows nothing yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Newcomer {
+pub struct StartingRouter {
     /// Time since it started.
     pub running: Duration,
     /// Routers of the fleet, as far as it hears.
@@ -75,10 +75,10 @@
     pub others_reach_source: bool,
 }
 
-impl Newcomer {
+impl StartingRouter {
     /// Whether it asks the source itself. When a whole fleet starts, its seeds and a few others ask the source, and
     /// the rest ask them; a router that learns nothing from others in time asks all the same.
-    pub fn asks_source(&self) -> bool {
+    pub fn queries_source(&self) -> bool {
         if self.is_seed {
             return true;
         }
@@ -95,7 +95,7 @@
 
 /// The wait of one call. `propagation` is the time in which a change must be in force, `draw` uniform in
 /// 0..1.
-pub fn watch_wait(propagation: Duration, draw: f64) -> Duration {
+pub fn watch_timeout(propagation: Duration, draw: f64) -> Duration {
     let longest = propagation.mul_f64(WAIT_PART);
     longest.mul_f64(LEAST_DRAWN + (1.0 - LEAST_DRAWN) * draw)
 }
--- a/crates/routing/src/standstill.rs
+++ b/crates/routing/src/stall.rs
@@ -19,15 +19,15 @@
 
 /// Notices standstills by the time between two turns.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct StandstillWatch {
+pub struct StallDetector {
     last_turn: Timestamp,
     last: Option<Standstill>,
     heard: Timestamp,
 }
 
-impl StandstillWatch {
+impl StallDetector {
     /// The router takes a turn. Gives for how long it stood still, if it did.
-    pub fn on_turn(&mut self, now: Timestamp) -> Option<Duration> {
+    pub fn on_tick(&mut self, now: Timestamp) -> Option<Duration> {
         let began = std::mem::replace(&mut self.last_turn, now);
         let lasted = now.since(began);
         if lasted < SHORTEST {
@@ -38,7 +38,7 @@
     }
 
     /// A peer or a source was heard.
-    pub fn on_heard(&mut self, now: Timestamp) {
+    pub fn on_contact(&mut self, now: Timestamp) {
         self.heard = now;
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Whether a peer or a source was heard after the last standstill. What is read right after it was sent during it.
-    pub fn has_heard_since(&self, now: Timestamp) -> bool {
+    pub fn has_contact_since_stall(&self, now: Timestamp) -> bool {
         self.current(now).is_none_or(|standstill| self.heard > standstill.ended + AFTERMATH)
     }
 
--- a/crates/routing/src/warmup.rs
+++ b/crates/routing/src/warmup.rs
@@ -80,7 +80,7 @@
 
     /// The source tells that a known back end is cold for `left`. One that turned cold may have had a warm one's
     /// load within the last second, so nothing is sent until that is over.
-    pub fn on_told(&mut self, now: Timestamp, left: Duration) {
+    pub fn on_update(&mut self, now: Timestamp, left: Duration) {
         if !left.is_zero() && !self.is_cold(now) {
             self.sending_from = now + WINDOW;
         }
@@ -93,7 +93,7 @@
     }
 
     /// Whether this router, as one of those that hold the allowance, may send one more request.
-    pub fn has_room(&self, now: Timestamp, holders: Holders) -> bool {
+    pub fn has_capacity(&self, now: Timestamp, holders: Holders) -> bool {
         let recent = self.sent.iter().rev().take_while(|sent| now.since(**sent) <= WINDOW);
         now >= self.sending_from && recent.count() < holders.requests as usize
     }
--- a/crates/routing/tests/announcements.rs
+++ b/crates/routing/tests/announcements.rs
@@ -25,9 +25,9 @@
     /// A list of the source: a life for each name that it holds, and whether it is ready. `later` begins an era.
     List { entries: Vec<(u8, u8, bool)>, is_later_era: bool, is_recovering: bool },
     /// A life says that it ends soon, in an answer or, if its name is odd, by another router.
-    Draining { name: u8, life: u8 },
+    Draining { name: u8, incarnation: u8 },
     /// A life turns a request away and wants no more for some tenths of a second.
-    Backoff { name: u8, life: u8, tenths: u8 },
+    Backoff { name: u8, incarnation: u8, tenths: u8 },
     /// The zone of all back ends is evacuated, or no longer.
     Evacuation { is_evacuated: bool },
     /// Time passes.
@@ -42,10 +42,12 @@
                 is_later_era: u8::arbitrary(random).is_multiple_of(4),
                 is_recovering: bool::arbitrary(random),
             },
-            4 | 5 => Heard::Draining { name: u8::arbitrary(random), life: u8::arbitrary(random) },
+            4 | 5 => {
+                Heard::Draining { name: u8::arbitrary(random), incarnation: u8::arbitrary(random) }
+            }
             6 => Heard::Backoff {
                 name: u8::arbitrary(random),
-                life: u8::arbitrary(random),
+                incarnation: u8::arbitrary(random),
                 tenths: u8::arbitrary(random) % 40,
             },
             7 => Heard::Evacuation { is_evacuated: bool::arbitrary(random) },
@@ -54,8 +56,8 @@
     }
 }
 
-fn id(name: u8, life: u8) -> BackEndId {
-    BackEndId::new(NAMES[usize::from(name) % NAMES.len()], 1 + u64::from(life % LIVES))
+fn id(name: u8, incarnation: u8) -> BackEndId {
+    BackEndId::new(NAMES[usize::from(name) % NAMES.len()], 1 + u64::from(incarnation % LIVES))
 }
 
 /// A router with its directory of back ends.
@@ -81,8 +83,8 @@
             Heard::List { entries, is_later_era, is_recovering } => {
                 let era = self.revision.era + u64::from(*is_later_era);
                 self.revision = Revision::new(era, self.revision.number + 1);
-                let back_ends = entries.iter().map(|(name, life, is_ready)| BackEnd {
-                    id: id(*name, *life),
+                let back_ends = entries.iter().map(|(name, incarnation, is_ready)| BackEnd {
+                    id: id(*name, *incarnation),
                     state: if *is_ready { BackEndState::Ready } else { BackEndState::Draining },
                     ..back_end("", PLAIN, 8)
                 });
@@ -90,15 +92,15 @@
                 let changes = self.directory.apply(now, *is_recovering, list.into());
                 self.take(now, changes);
             }
-            Heard::Draining { name, life } if name % 2 == 0 => {
-                self.dispatcher.on_draining(now, &id(*name, *life));
+            Heard::Draining { name, incarnation } if name % 2 == 0 => {
+                self.dispatcher.on_draining(now, &id(*name, *incarnation));
             }
-            Heard::Draining { name, life } => {
-                self.dispatcher.on_draining_told(now, &id(*name, *life));
+            Heard::Draining { name, incarnation } => {
+                self.dispatcher.on_draining_told(now, &id(*name, *incarnation));
             }
-            Heard::Backoff { name, life, tenths } => {
+            Heard::Backoff { name, incarnation, tenths } => {
                 let backoff = Duration::from_millis(u64::from(*tenths) * 100);
-                self.dispatcher.on_backoff(now, &id(*name, *life), backoff);
+                self.dispatcher.on_backoff(now, &id(*name, *incarnation), backoff);
             }
             Heard::Evacuation { is_evacuated } => {
                 let zones = if *is_evacuated { vec!["a".to_owned()] } else { Vec::new() };
@@ -141,9 +143,9 @@
         for one in &heard {
             now = now + STEP;
             router.hear(now, one);
-            if let Heard::Backoff { name, life, tenths } = one {
+            if let Heard::Backoff { name, incarnation, tenths } = one {
                 let over = now + Duration::from_millis(u64::from(*tenths) * 100);
-                let known = until.entry(id(*name, *life)).or_insert(over);
+                let known = until.entry(id(*name, *incarnation)).or_insert(over);
                 *known = over.max(*known);
             }
             let chosen = router.choices(now, 6);
@@ -163,8 +165,8 @@
         for one in &heard {
             now = now + STEP;
             router.hear(now, one);
-            if let Heard::Draining { name, life } = one {
-                said.insert(id(*name, *life));
+            if let Heard::Draining { name, incarnation } = one {
+                said.insert(id(*name, *incarnation));
             }
             let chosen = router.choices(now, 6);
             if chosen.iter().any(|id| said.contains(id)) {
@@ -179,13 +181,13 @@
 #[test]
 fn a_later_life_takes_work() {
     let mut router = Router::new();
-    let list = |life| Heard::List {
-        entries: vec![(0, life, true)],
+    let list = |incarnation| Heard::List {
+        entries: vec![(0, incarnation, true)],
         is_later_era: false,
         is_recovering: false,
     };
     router.hear(at(0), &list(0));
-    router.hear(at(100), &Heard::Draining { name: 0, life: 0 });
+    router.hear(at(100), &Heard::Draining { name: 0, incarnation: 0 });
     assert!(router.choices(at(200), 1).is_empty());
     router.hear(at(300), &list(1));
     assert_eq!(router.choices(at(400), 1), [id(0, 1)]);
--- a/crates/routing/tests/attempt.rs
+++ b/crates/routing/tests/attempt.rs
@@ -1,6 +1,6 @@
 //! What may be sent again and what a caller may be told, over any order of events.
 
-use mastbay_routing::{Attempt, AttemptState, Verdict};
+use mastbay_routing::{Attempt, AttemptState, ExecutionStatus};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 #[derive(Debug, Clone, Copy)]
@@ -58,7 +58,7 @@
         let mut attempt = Attempt::new(idempotent, most % 5);
         let runs = play(&mut attempt, &events);
         let may_be_running = attempt.state() == AttemptState::Sent;
-        attempt.verdict() != Verdict::NotRun || (runs == 0 && !may_be_running)
+        attempt.execution_status() != ExecutionStatus::NotRun || (runs == 0 && !may_be_running)
     }
 }
 
@@ -68,7 +68,7 @@
     attempt.on_send();
     attempt.on_not_run();
     assert!(attempt.may_send());
-    assert_eq!(attempt.verdict(), Verdict::NotRun);
+    assert_eq!(attempt.execution_status(), ExecutionStatus::NotRun);
 }
 
 #[test]
@@ -78,7 +78,7 @@
     attempt.on_lost();
     attempt.on_send();
     attempt.on_not_run();
-    assert_eq!(attempt.verdict(), Verdict::MayHaveRun);
+    assert_eq!(attempt.execution_status(), ExecutionStatus::MayHaveRun);
 }
 
 #[test]
@@ -88,5 +88,5 @@
     attempt.on_answer();
     attempt.on_send();
     attempt.on_not_run();
-    assert_eq!(attempt.verdict(), Verdict::MayHaveRun);
+    assert_eq!(attempt.execution_status(), ExecutionStatus::MayHaveRun);
 }
--- a/crates/routing/tests/cold_engines.rs
+++ b/crates/routing/tests/cold_engines.rs
@@ -50,9 +50,9 @@
     list
 }
 
-fn router(index: usize, life: u64, rate: Option<f64>) -> Dispatcher {
+fn router(index: usize, incarnation: u64, rate: Option<f64>) -> Dispatcher {
     let limits = DispatcherLimits { warmup: LIMITS, zone: format!("z{}", index % 3), ..limits() };
-    let me = PeerId { address: address(index), life: life * 1_000 + index as u64 };
+    let me = PeerId { address: address(index), incarnation: incarnation * 1_000 + index as u64 };
     let mut router = Dispatcher::new(limits, me, address(index));
     router.on_configuration(&cold_configuration(rate));
     router
@@ -218,11 +218,11 @@
     let holders = Holders::of(ALLOWANCE as f64, 62);
     let mut warmup = Warmup::of_new(at(0), Duration::ZERO);
     assert!(!warmup.is_cold(at(5_000)));
-    warmup.on_told(at(5_000), COLD);
-    assert!(!warmup.has_room(at(5_999), holders));
-    assert!(warmup.has_room(at(6_000), holders));
-    warmup.on_told(at(6_200), Duration::from_millis(1_800));
-    assert!(warmup.has_room(at(6_200), holders), "told again of the same time");
+    warmup.on_update(at(5_000), COLD);
+    assert!(!warmup.has_capacity(at(5_999), holders));
+    assert!(warmup.has_capacity(at(6_000), holders));
+    warmup.on_update(at(6_200), Duration::from_millis(1_800));
+    assert!(warmup.has_capacity(at(6_200), holders), "told again of the same time");
     assert!(!warmup.is_cold(at(8_000)));
 }
 
--- a/crates/routing/tests/concurrency.rs
+++ b/crates/routing/tests/concurrency.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use mastbay_routing::{
-    Admission, ConcurrencyLimit, Dispatcher, EVENTS_OBSERVED, LimitSum, Placement, ServiceLevel,
-    Standing, UnloadedPace,
+    Admission, ConcurrencyLimit, Dispatcher, EVENTS_PER_OBSERVATION, LimitSum, Placement,
+    RouterPhase, ServiceLevel, UnloadedEventInterval,
 };
 use mastbay_types::Timestamp;
 use quickcheck::{TestResult, quickcheck};
@@ -19,12 +19,12 @@
     let mut limit = ConcurrencyLimit::default();
     for turn in 0..1_200 {
         let now = Timestamp::from_millis(turn * 50);
-        let agreed = limit.found(now).unwrap_or_else(|| ConcurrencyLimit::start(slots));
+        let agreed = limit.current(now).unwrap_or_else(|| ConcurrencyLimit::initial(slots));
         let pace = fixed + per_request * agreed;
-        limit.observe_pace(now, Duration::from_secs_f64(pace / 1e3));
+        limit.observe_event_interval(now, Duration::from_secs_f64(pace / 1e3));
         limit.adjust(now, pace / (2.0 * fixed), agreed, agreed as u32, slots);
     }
-    limit.found(Timestamp::from_millis(60_000)).expect("found")
+    limit.current(Timestamp::from_millis(60_000)).expect("found")
 }
 
 quickcheck! {
@@ -45,36 +45,36 @@
 #[test]
 fn without_any_pace_it_rises_while_tenants_within_their_share_are_served_in_time() {
     let mut limit = ConcurrencyLimit::default();
-    let mut agreed = ConcurrencyLimit::start(64);
+    let mut agreed = ConcurrencyLimit::initial(64);
     for turn in 0..100 {
         limit.observe_first_event(at(turn * 100));
         limit.adjust(at(turn * 100), 0.5, agreed, agreed as u32, 64);
-        agreed = limit.found(at(turn * 100)).unwrap_or(agreed);
+        agreed = limit.current(at(turn * 100)).unwrap_or(agreed);
     }
-    assert_eq!(limit.found(at(10_000)), Some(64.0));
+    assert_eq!(limit.current(at(10_000)), Some(64.0));
 }
 
 #[test]
 fn a_limit_that_is_not_in_use_does_not_rise() {
     let mut limit = ConcurrencyLimit::default();
     for turn in 0..200 {
-        limit.observe_pace(at(turn * 50), Duration::from_millis(10));
+        limit.observe_event_interval(at(turn * 50), Duration::from_millis(10));
         limit.adjust(at(turn * 50), LIGHT, 20.0, 3, 128);
     }
-    assert_eq!(limit.found(at(10_000)), Some(20.0));
-    assert_eq!(limit.found(at(20_000)), None, "no stream was seen for long");
+    assert_eq!(limit.current(at(10_000)), Some(20.0));
+    assert_eq!(limit.current(at(20_000)), None, "no stream was seen for long");
 }
 
 #[test]
 fn it_falls_at_most_a_tenth_at_a_time_and_not_twice_in_a_moment() {
     let mut limit = ConcurrencyLimit::default();
     for _ in 0..10 {
-        limit.observe_pace(at(1_000), Duration::from_secs(5));
+        limit.observe_event_interval(at(1_000), Duration::from_secs(5));
     }
     limit.adjust(at(1_000), HEAVY, 50.0, 50, 128);
-    assert_eq!(limit.found(at(1_100)), Some(45.0));
+    assert_eq!(limit.current(at(1_100)), Some(45.0));
     limit.adjust(at(1_050), HEAVY, 45.0, 45, 128);
-    assert_eq!(limit.found(at(1_100)), Some(45.0));
+    assert_eq!(limit.current(at(1_100)), Some(45.0));
 }
 
 #[test]
@@ -83,24 +83,24 @@
     for turn in 0..5 {
         level.on_request(at(turn * 10), turn != 2);
     }
-    let few = level.counts(at(50)).missed_share();
+    let few = level.counts(at(50)).miss_rate();
     assert!((0.05..0.1).contains(&few), "{few}");
     for turn in 0..200 {
         level.on_request(at(100 + turn), turn % 2 == 0);
     }
-    let many = level.counts(at(300)).missed_share();
+    let many = level.counts(at(300)).miss_rate();
     assert!((0.4..0.55).contains(&many), "{many}");
-    assert!(level.counts(at(30_000)).missed_share() < 0.051, "the past fades");
+    assert!(level.counts(at(30_000)).miss_rate() < 0.051, "the past fades");
 }
 
 #[test]
 fn the_least_pace_is_forgotten_after_minutes() {
-    let mut unloaded = UnloadedPace::default();
+    let mut unloaded = UnloadedEventInterval::default();
     unloaded.observe(at(0), Duration::from_millis(10));
     unloaded.observe(at(130_000), Duration::from_millis(30));
-    assert_eq!(unloaded.least(), Some(Duration::from_millis(10)));
+    assert_eq!(unloaded.minimum(), Some(Duration::from_millis(10)));
     unloaded.observe(at(260_000), Duration::from_millis(30));
-    assert_eq!(unloaded.least(), Some(Duration::from_millis(30)));
+    assert_eq!(unloaded.minimum(), Some(Duration::from_millis(30)));
 }
 
 #[test]
@@ -128,8 +128,8 @@
         let began = from + stream * 20;
         let placement = place(dispatcher, at(began), from + stream).expect("room");
         dispatcher.on_first_event(at(began + 1), placement.ticket);
-        let observed = at(began + 1 + gap * u64::from(EVENTS_OBSERVED));
-        dispatcher.on_events(observed, placement.ticket, EVENTS_OBSERVED);
+        let observed = at(began + 1 + gap * u64::from(EVENTS_PER_OBSERVATION));
+        dispatcher.on_events(observed, placement.ticket, EVENTS_PER_OBSERVATION);
         dispatcher.on_end(observed, placement.ticket, Ok(()));
     }
 }
@@ -186,11 +186,13 @@
 fn a_lone_digest_tells_the_unloaded_pace() {
     let mut fleet = [dispatcher(1, 1, 128), dispatcher(2, 1, 128)];
     see_streams(&mut fleet[0], 0, 10);
-    let digest = fleet[0].digest(at(2_000), Standing::Serving);
-    let paces =
-        digest.figures.and_then(|figures| figures.paces).expect("the first digest is a full one");
-    assert_eq!(paces.len(), 1);
-    assert_eq!(paces[0].unloaded_micros, 10_000);
+    let digest = fleet[0].digest(at(2_000), RouterPhase::Serving);
+    let event_intervals = digest
+        .stats
+        .and_then(|stats| stats.event_intervals)
+        .expect("the first digest is a full one");
+    assert_eq!(event_intervals.len(), 1);
+    assert_eq!(event_intervals[0].unloaded_micros, 10_000);
 }
 
 /// Lets `count` requests of a tenant within its share miss their objective while streams are `gap`
@@ -202,8 +204,8 @@
         let began = 2_000 + turn * 20;
         let placement = place(&mut dispatcher, at(began), 5_000 + turn).expect("room");
         dispatcher.on_first_event(at(began + 450), placement.ticket);
-        let observed = at(began + 450 + gap * u64::from(EVENTS_OBSERVED));
-        dispatcher.on_events(observed, placement.ticket, EVENTS_OBSERVED);
+        let observed = at(began + 450 + gap * u64::from(EVENTS_PER_OBSERVATION));
+        dispatcher.on_events(observed, placement.ticket, EVENTS_PER_OBSERVATION);
         dispatcher.on_end(observed, placement.ticket, Ok(()));
     }
     limit_of(&mut dispatcher, at(6_500))
@@ -213,7 +215,7 @@
 /// limit of six for ten seconds.
 #[test]
 fn misses_lower_the_limit_only_where_the_engine_is_slow() {
-    let start = ConcurrencyLimit::start(128) as u32;
+    let start = ConcurrencyLimit::initial(128) as u32;
     assert!(limit_after_misses(12) >= start, "streams are as fast as without load");
     assert!(limit_after_misses(25) < start, "streams take over twice the time without load");
 }
--- a/crates/routing/tests/connections.rs
+++ b/crates/routing/tests/connections.rs
@@ -14,13 +14,13 @@
 #[test]
 fn resting_connections_of_the_fleet_stay_within_the_bound() {
     let bounds = ConnectionBounds::new(530, 24, 61);
-    assert!(bounds.resting * 61 <= 530, "{bounds:?}");
+    assert!(bounds.idle * 61 <= 530, "{bounds:?}");
 }
 
 quickcheck! {
     fn one_router_never_takes_more_than_a_part_of_the_bound(most: u16, slots: u16, routers: u16) -> bool {
         let (most, routers) = (u32::from(most).max(8), usize::from(routers).max(1));
         let bounds = ConnectionBounds::new(most, u32::from(slots), routers);
-        bounds.resting <= bounds.open && bounds.open <= most / 3 && bounds.resting >= 1
+        bounds.idle <= bounds.open && bounds.open <= most / 3 && bounds.idle >= 1
     }
 }
--- a/crates/routing/tests/directory.rs
+++ b/crates/routing/tests/directory.rs
@@ -15,7 +15,7 @@
 /// One step of a source: an entry is written, or goes.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    Write { name: u8, life: u8, is_ready: bool },
+    Write { name: u8, incarnation: u8, is_ready: bool },
     Remove { name: u8 },
 }
 
@@ -40,8 +40,12 @@
         let name = u8::arbitrary(generator) % NAMES;
         match u8::arbitrary(generator) % 16 {
             0..5 => {
-                let life = u8::arbitrary(generator) % 3;
-                Self::Source(Step::Write { name, life, is_ready: bool::arbitrary(generator) })
+                let incarnation = u8::arbitrary(generator) % 3;
+                Self::Source(Step::Write {
+                    name,
+                    incarnation,
+                    is_ready: bool::arbitrary(generator),
+                })
             }
             5..8 => Self::Source(Step::Remove { name }),
             8..11 => Self::Follow,
@@ -63,9 +67,9 @@
     fn step(&mut self, step: Step) {
         self.revision.number += 1;
         let name = match step {
-            Step::Write { name, life, is_ready } => {
+            Step::Write { name, incarnation, is_ready } => {
                 let state = if is_ready { BackEndState::Ready } else { BackEndState::Draining };
-                let id = BackEndId::new(&format!("e{name}"), u64::from(life));
+                let id = BackEndId::new(&format!("e{name}"), u64::from(incarnation));
                 self.entries.insert(name, BackEnd { id, state, ..back_end("", MODEL, 4) });
                 name
             }
@@ -93,9 +97,9 @@
         names.sort_unstable();
         names.dedup();
         let listed = names.iter().filter_map(|name| self.entries.get(name)).cloned().collect();
-        let gone = names.iter().filter(|name| !self.entries.contains_key(name));
-        let gone = gone.map(|name| Arc::from(format!("e{name}"))).collect();
-        BackEndUpdate { base: Some(base), revision: self.revision, listed, gone }
+        let removed = names.iter().filter(|name| !self.entries.contains_key(name));
+        let removed = removed.map(|name| Arc::from(format!("e{name}"))).collect();
+        BackEndUpdate { base: Some(base), revision: self.revision, listed, removed }
     }
 }
 
@@ -133,8 +137,8 @@
             }
             for one in listed(&follower) {
                 let latest = latest.entry(one.id.name.to_string()).or_default();
-                assert!(one.id.life >= *latest, "an earlier life of {}", one.id.name);
-                *latest = one.id.life;
+                assert!(one.id.incarnation >= *latest, "an earlier life of {}", one.id.name);
+                *latest = one.id.incarnation;
             }
         }
         true
@@ -150,13 +154,13 @@
         let mut changed = back_end("e7", MODEL, 8);
         changed.state = BackEndState::Draining;
         let base = Some(10.into());
-        let gone = vec![Arc::from("e9")];
-        let update = BackEndUpdate { base, revision: 11.into(), listed: vec![changed], gone };
+        let removed = vec![Arc::from("e9")];
+        let update = BackEndUpdate { base, revision: 11.into(), listed: vec![changed], removed };
         assert!(one.offer(at(10), false, update));
         let update = one.directory.update_since(10.into());
         assert_eq!(one.directory.update_since(11.into()).listed.len(), 0);
         assert_eq!(one.directory.update_since(9.into()).base, None);
-        (update.listed.len(), update.gone.len())
+        (update.listed.len(), update.removed.len())
     });
     assert_eq!(told, [(1, 1); 3]);
 }
@@ -169,7 +173,7 @@
         base: Some(base.into()),
         revision: revision.into(),
         listed: vec![back_end("e1", MODEL, 8)],
-        gone: Vec::new(),
+        removed: Vec::new(),
     };
     assert!(!one.offer(at(0), false, update(5, 6)));
     assert!(one.offer(at(0), false, list(5, 1, 8)));
--- a/crates/routing/tests/dispatcher.rs
+++ b/crates/routing/tests/dispatcher.rs
@@ -4,7 +4,7 @@
 
 use mastbay_routing::{
     Admission, BackEndId, BackEndState, Digest, Dispatcher, Fault, Placement, Prompt, PromptPart,
-    RefusalReason, Standing, TicketId,
+    RefusalReason, RouterPhase, TicketId,
 };
 use mastbay_types::Timestamp;
 use quickcheck::quickcheck;
@@ -75,11 +75,11 @@
 #[test]
 fn a_repeated_or_old_digest_changes_nothing() {
     let mut fleet = [dispatcher(1, 1, 4), dispatcher(2, 1, 4)];
-    let old = fleet[0].digest(at(0), Standing::Serving);
+    let old = fleet[0].digest(at(0), RouterPhase::Serving);
     for own in 0..2 {
         place(&mut fleet[0], at(0), 1, own).expect("room");
     }
-    let new = fleet[0].digest(at(1), Standing::Serving);
+    let new = fleet[0].digest(at(1), RouterPhase::Serving);
     for digest in [new.clone(), new, old] {
         fleet[1].on_digest(at(2), digest);
     }
@@ -95,8 +95,8 @@
         place(&mut fleet[0], at(0), 1, own).expect("room");
     }
     exchange_digests(at(10), &mut fleet);
-    let mut reborn = dispatcher(1, 1, 4).digest(at(0), Standing::Serving);
-    reborn.router.id.life = 77;
+    let mut reborn = dispatcher(1, 1, 4).digest(at(0), RouterPhase::Serving);
+    reborn.router.id.incarnation = 77;
     fleet[1].on_digest(at(20), reborn);
     assert!(place(&mut fleet[1], at(21), 1, 9).is_some());
     assert_eq!(fleet[1].routers(), 2);
@@ -137,7 +137,7 @@
     let short = |own: u64| Prompt {
         parts: vec![PromptPart { id: 7, tokens: 80 }, PromptPart { id: 100 + own, tokens: 400 }],
         input_tokens: 480,
-        most_output_tokens: 300,
+        max_output_tokens: 300,
         output_hint: None,
     };
     let mut taken = std::collections::BTreeMap::new();
@@ -405,17 +405,17 @@
         exchange_digests(at(now + 60_001), &mut fleet);
         let later = at(now + 60_002);
         let has_load = fleet.iter_mut().any(|one| {
-            let digest = one.digest(later, Standing::Serving);
-            digest.figures.is_some_and(|figures| !figures.loads.is_empty())
+            let digest = one.digest(later, RouterPhase::Serving);
+            digest.stats.is_some_and(|stats| !stats.loads.is_empty())
         });
         // Refusals of the last poll count for the service level until they have faded.
         let much_later = at(now + 120_000);
-        let digests = fleet.iter_mut().map(|one| one.digest(much_later, Standing::Serving));
+        let digests = fleet.iter_mut().map(|one| one.digest(much_later, RouterPhase::Serving));
         !has_load && digests.collect::<Vec<_>>().iter().all(tells_nothing_of_engines)
     }
 }
 
 fn tells_nothing_of_engines(digest: &Digest) -> bool {
-    let figures = digest.figures.as_ref().expect("a mesh digest has figures");
-    figures.loads.is_empty() && figures.levels.as_ref().is_some_and(Vec::is_empty)
+    let stats = digest.stats.as_ref().expect("a mesh digest has figures");
+    stats.loads.is_empty() && stats.service_levels.as_ref().is_some_and(Vec::is_empty)
 }
--- a/crates/routing/tests/growth.rs
+++ b/crates/routing/tests/growth.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use mastbay_routing::{Admission, BackEndList, Dispatcher, Standing};
+use mastbay_routing::{Admission, BackEndList, Dispatcher, RouterPhase};
 use mastbay_types::Timestamp;
 use std::collections::BTreeSet;
 use support::{MODEL, PLAIN, at, back_end, demand, dispatcher, prompt};
@@ -62,7 +62,7 @@
         admit_all(&mut router, false);
         looks(&mut router, |router| {
             for round in 0..ROUNDS {
-                router.next_round(at(2_000 + round * 80), Standing::Serving, &[]);
+                router.next_round(at(2_000 + round * 80), RouterPhase::Serving, &[]);
             }
         })
     });
--- a/crates/routing/tests/lapsed.rs
+++ b/crates/routing/tests/lapsed.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use mastbay_routing::{BackEndList, BackEndState, OutageWatch, SourceContact};
+use mastbay_routing::{BackEndList, BackEndState, OutageDetector, SourceContact};
 use support::usable::Usable;
 use support::{at, list};
 
@@ -45,7 +45,7 @@
 
 #[test]
 fn lists_are_in_doubt_for_a_while_after_an_outage_and_not_after_a_lost_call() {
-    let mut watch = OutageWatch::default();
+    let mut watch = OutageDetector::default();
     watch.on_lost(at(1_000));
     watch.on_answer(at(1_200));
     assert!(!watch.is_recovering(at(1_200)));
--- a/crates/routing/tests/large_fleet.rs
+++ b/crates/routing/tests/large_fleet.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use mastbay_routing::{
-    Admission, BackEndId, Dispatcher, EngineKey, EngineLevel, EngineLoad, Figures, LevelCounts,
-    LimitSum, Load, OutageWatch, PeerMessage, SourceContact, Standing,
+    Admission, BackEndId, Dispatcher, EngineKey, EngineLoad, EngineServiceLevel, LimitSum, Load,
+    LoadStats, OutageDetector, PeerMessage, RouterPhase, ServiceLevelCounts, SourceContact,
 };
 use mastbay_types::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
@@ -187,7 +187,7 @@
 /// Right after a start, a router knows few of the others; it must not take the fleet's budget for that of a few.
 #[test]
 fn a_newcomer_takes_its_part_of_the_budget_of_the_whole_fleet() {
-    let mut seed = router(0, 1).greeting(Standing::Serving);
+    let mut seed = router(0, 1).greeting(RouterPhase::Serving);
     seed.router.routers = 300;
     let mut newcomer = router(7, 1);
     newcomer.on_digest(Timestamp::from_millis(5), seed);
@@ -202,20 +202,21 @@
     let key = |name: &str| EngineKey::from(&BackEndId::from(name));
     let load =
         |running| EngineLoad { engine: key("e0"), load: Load { running, ..Load::default() } };
-    let level = EngineLevel {
+    let level = EngineServiceLevel {
         engine: key("e0"),
         limits: LimitSum::of(Some(7.0)),
-        level: LevelCounts::default(),
+        level: ServiceLevelCounts::default(),
     };
-    let mut held = Figures { levels: Some(vec![level]), ..Figures::default() };
-    let replaced = held.replace(Figures { loads: vec![load(3)], ..Figures::default() });
-    assert_eq!(replaced, Figures::default(), "no level is replaced");
+    let mut held = LoadStats { service_levels: Some(vec![level]), ..LoadStats::default() };
+    let replaced = held.replace(LoadStats { loads: vec![load(3)], ..LoadStats::default() });
+    assert_eq!(replaced, LoadStats::default(), "no level is replaced");
     assert_eq!(
-        (held.loads.as_slice(), held.levels.as_deref()),
+        (held.loads.as_slice(), held.service_levels.as_deref()),
         ([load(3)].as_slice(), Some([level].as_slice()))
     );
-    let replaced = held.replace(Figures { levels: Some(Vec::new()), ..Figures::default() });
-    assert_eq!((replaced.loads, replaced.levels), (vec![load(3)], Some(vec![level])));
+    let replaced =
+        held.replace(LoadStats { service_levels: Some(Vec::new()), ..LoadStats::default() });
+    assert_eq!((replaced.loads, replaced.service_levels), (vec![load(3)], Some(vec![level])));
 }
 
 /// A mesh tells of tenants in one digest of four, through rounds as well as through single digests.
@@ -224,15 +225,15 @@
     let mut router = router(0, 1);
     let tells_of_tenants = |round: u64| {
         let now = Timestamp::from_millis(80 * round);
-        let messages = router.next_round(now, Standing::Serving, &[address(1)]);
-        let figures = messages.into_iter().find_map(|outgoing| match outgoing.message {
-            PeerMessage::Digest(digest) => digest.figures,
+        let messages = router.next_round(now, RouterPhase::Serving, &[address(1)]);
+        let stats = messages.into_iter().find_map(|outgoing| match outgoing.message {
+            PeerMessage::Digest(digest) => digest.stats,
             PeerMessage::Sum(_)
             | PeerMessage::SumForZone(_)
             | PeerMessage::Ends(_)
             | PeerMessage::Draining(_) => None,
         });
-        figures.is_some_and(|figures| figures.levels.is_some() && figures.tenants.is_some())
+        stats.is_some_and(|stats| stats.service_levels.is_some() && stats.tenants.is_some())
     };
     let told: Vec<bool> = (0..8).map(tells_of_tenants).collect();
     assert_eq!(told, [true, false, false, false, true, false, false, false]);
@@ -538,7 +539,7 @@
 ) -> usize {
     let mut fleet = Fleet::new(size);
     fleet.rounds(40);
-    let mut watches = vec![OutageWatch::default(); size];
+    let mut watches = vec![OutageDetector::default(); size];
     let mut aggregators = Vec::new();
     let mut taken_for_lost = 0;
     for round in 0..answering + TURNING_AWAY {
