--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -20,10 +20,10 @@
 }
 
 /// The list in which all back ends have a life.
-fn list_of_life(revision: u64, life: u64) -> BackEndList {
+fn list_of_life(revision: u64, incarnation: u64) -> BackEndList {
     let mut listed = list(revision, ENGINES, SLOTS);
     for back_end in &mut listed.back_ends {
-        back_end.id = BackEndId::new(&back_end.id.name, life);
+        back_end.id = BackEndId::new(&back_end.id.name, incarnation);
     }
     listed
 }
@@ -49,7 +49,7 @@
 }
 
 /// Engines with requests of two routers end and come back; the lists of both routers name them with a life.
-fn belief_after_return(life: u64) -> Belief {
+fn belief_after_return(incarnation: u64) -> Belief {
     let mut fleet = [dispatcher(1, ENGINES, SLOTS), dispatcher(2, ENGINES, SLOTS)];
     for router in &mut fleet {
         router.on_back_ends(at(0), &list_of_life(2, 1_000));
@@ -62,7 +62,7 @@
     for placement in &own[..3] {
         fleet[0].on_end(at(30), placement.ticket, Err(Some(Fault::Unreachable)));
     }
-    fleet[0].on_back_ends(at(40), &list_of_life(3, life));
+    fleet[0].on_back_ends(at(40), &list_of_life(3, incarnation));
     let running = fleet[0].loads().map(|load| load.running).sum();
     let pending_prefill = fleet[0].loads().map(|load| load.prefill.tokens).sum();
     let placed = admit(&mut fleet[0], at(140), 99);
@@ -123,13 +123,13 @@
     assert!(usable.offer(at(0), true, BackEndList { revision: 2.into(), back_ends: Vec::new() }));
     assert_eq!(usable.held.len(), ENGINES);
     assert!(usable.offer(at(0), true, list_of_life(3, 2_000)));
-    assert!(usable.held.keys().all(|id| id.life == 2_000));
+    assert!(usable.held.keys().all(|id| id.incarnation == 2_000));
     assert_eq!(usable.held.len(), ENGINES);
 }
 
-fn entry(name: u8, life: u8) -> BackEnd {
+fn entry(name: u8, incarnation: u8) -> BackEnd {
     BackEnd {
-        id: BackEndId::new(&format!("e{}", name % 3), u64::from(life)),
+        id: BackEndId::new(&format!("e{}", name % 3), u64::from(incarnation)),
         service: "s".to_owned(),
         address: ([127, 0, 0, 1], 80).into(),
         zone: "a".to_owned(),
@@ -146,15 +146,15 @@
         let mut usable = Usable::default();
         let mut latest = [0_u64; 3];
         for (revision, entries) in (1_u64..).zip(&lists) {
-            let back_ends = entries.iter().map(|(name, life)| entry(*name, *life)).collect();
+            let back_ends = entries.iter().map(|(name, incarnation)| entry(*name, *incarnation)).collect();
             let list = BackEndList { revision: revision.into(), back_ends };
             usable.offer(at(revision), false, list);
             for id in usable.held.keys() {
                 let name: usize = id.name[1..].parse().expect("a number");
-                if id.life < latest[name] {
+                if id.incarnation < latest[name] {
                     return TestResult::failed();
                 }
-                latest[name] = id.life;
+                latest[name] = id.incarnation;
             }
         }
         TestResult::passed()
--- a/crates/routing/tests/overload.rs
+++ b/crates/routing/tests/overload.rs
@@ -2,28 +2,28 @@
 
 mod support;
 
-use mastbay_routing::{Others, OverloadGuard, Turn};
+use mastbay_routing::{OverloadGuard, PeerCapacity, Tick};
 use std::time::Duration;
 use support::at;
 
 const PERIOD: Duration = Duration::from_millis(8);
 
-fn turn(lag_ms: u64) -> Turn {
-    Turn {
+fn turn(lag_ms: u64) -> Tick {
+    Tick {
         period: PERIOD,
         lag: Duration::from_millis(lag_ms),
         connections: 0.1,
-        others: Others { in_zone: 14, ..Others::default() },
+        peers: PeerCapacity { in_zone: 14, ..PeerCapacity::default() },
     }
 }
 
 /// Takes turns from `start` to `end`, in milliseconds, and gives the changes with their times.
-fn changes(guard: &mut OverloadGuard, start: u64, end: u64, turn: Turn) -> Vec<(u64, bool)> {
+fn changes(guard: &mut OverloadGuard, start: u64, end: u64, turn: Tick) -> Vec<(u64, bool)> {
     let mut seen = Vec::new();
     let mut now = start;
     while now < end {
         now += (turn.period + turn.lag).as_millis() as u64;
-        if let Some(shedding) = guard.on_turn(at(now), turn) {
+        if let Some(shedding) = guard.on_tick(at(now), turn) {
             seen.push((now, shedding));
         }
     }
@@ -48,7 +48,7 @@
 #[test]
 fn one_long_pause_is_no_overload() {
     let mut guard = OverloadGuard::default();
-    assert_eq!(guard.on_turn(at(500), turn(1_500)), None);
+    assert_eq!(guard.on_tick(at(500), turn(1_500)), None);
     assert_eq!(changes(&mut guard, 500, 5_000, turn(1)), []);
 }
 
@@ -74,8 +74,8 @@
 #[test]
 fn many_open_connections_are_an_overload_too() {
     let mut guard = OverloadGuard::default();
-    let crowded = Turn { connections: 0.7, ..turn(0) };
-    assert_eq!(guard.on_turn(at(8), crowded), Some(true));
+    let crowded = Tick { connections: 0.7, ..turn(0) };
+    assert_eq!(guard.on_tick(at(8), crowded), Some(true));
 }
 
 /// Found on a day on which eight of fifteen routers of a zone shed: the balancer used all of them again, and
@@ -83,8 +83,8 @@
 #[test]
 fn most_of_a_zone_stays_ready() {
     let mut guard = OverloadGuard::default();
-    let with = |in_zone: usize, shedding: usize| Turn {
-        others: Others { in_zone, shedding, ..Others::default() },
+    let with = |in_zone: usize, shedding: usize| Tick {
+        peers: PeerCapacity { in_zone, shedding, ..PeerCapacity::default() },
         ..turn(80)
     };
     assert_eq!(changes(&mut guard, 0, 3_000, with(14, 6)), []);
@@ -98,26 +98,26 @@
 fn connections_beyond_what_the_processor_carries_are_turned_away_at_once() {
     let mut guard = OverloadGuard::default();
     changes(&mut guard, 0, 500, turn(40));
-    assert!(guard.turned_away_part() > 0.3, "{}", guard.turned_away_part());
+    assert!(guard.rejected_fraction() > 0.3, "{}", guard.rejected_fraction());
     changes(&mut guard, 500, 1_500, turn(2));
-    assert_eq!(guard.turned_away_part(), 0.0);
+    assert_eq!(guard.rejected_fraction(), 0.0);
 }
 
 #[test]
 fn some_connections_are_taken_however_late_the_router_is() {
     let mut guard = OverloadGuard::default();
     changes(&mut guard, 0, 5_000, turn(500));
-    assert!(guard.turned_away_part() < 1.0);
+    assert!(guard.rejected_fraction() < 1.0);
 }
 
 #[test]
 fn a_router_is_pressed_before_it_turns_anyone_away() {
     let mut guard = OverloadGuard::default();
     changes(&mut guard, 0, 1_000, turn(4));
-    assert!(guard.is_pressed());
-    assert_eq!(guard.turned_away_part(), 0.0);
+    assert!(guard.is_under_pressure());
+    assert_eq!(guard.rejected_fraction(), 0.0);
     changes(&mut guard, 1_000, 2_000, turn(0));
-    assert!(!guard.is_pressed());
+    assert!(!guard.is_under_pressure());
 }
 
 /// Found on days on which one client asks a thousand times a second: the balancer sends it to one router
@@ -125,27 +125,27 @@
 #[test]
 fn small_routers_leave_callers_to_larger_ones_for_long() {
     let mut guard = OverloadGuard::default();
-    let larger = Others { in_zone: 14, larger: 0.1, ..Others::default() };
-    changes(&mut guard, 0, 1_100, Turn { others: larger, ..turn(80) });
-    let seen = changes(&mut guard, 1_100, 90_000, Turn { others: larger, ..turn(1) });
+    let larger = PeerCapacity { in_zone: 14, larger: 0.1, ..PeerCapacity::default() };
+    changes(&mut guard, 0, 1_100, Tick { peers: larger, ..turn(80) });
+    let seen = changes(&mut guard, 1_100, 90_000, Tick { peers: larger, ..turn(1) });
     assert!(matches!(seen[..], [(when, false)] if when > 50_000), "{seen:?}");
 }
 
 #[test]
 fn a_router_among_smaller_ones_keeps_its_callers() {
     let mut guard = OverloadGuard::default();
-    let smaller = Others { in_zone: 14, smaller: 0.9, ..Others::default() };
-    assert_eq!(changes(&mut guard, 0, 5_000, Turn { others: smaller, ..turn(80) }), []);
-    assert!(guard.turned_away_part() > 0.5);
+    let smaller = PeerCapacity { in_zone: 14, smaller: 0.9, ..PeerCapacity::default() };
+    assert_eq!(changes(&mut guard, 0, 5_000, Tick { peers: smaller, ..turn(80) }), []);
+    assert!(guard.rejected_fraction() > 0.5);
 }
 
 #[test]
 fn connections_go_to_peers_before_any_is_turned_away() {
     let mut guard = OverloadGuard::default();
-    assert_eq!(guard.offloaded_part(), 0.0);
+    assert_eq!(guard.offloaded_fraction(), 0.0);
     changes(&mut guard, 0, 1_000, turn(4));
-    assert!(guard.offloaded_part() > 0.3);
-    assert_eq!(guard.turned_away_part(), 0.0);
+    assert!(guard.offloaded_fraction() > 0.3);
+    assert_eq!(guard.rejected_fraction(), 0.0);
 }
 
 /// A balancer that sends one client to the first router of an order of its own that is ready; it uses all again
@@ -170,7 +170,7 @@
         let is_any_used = ROUTERS - shedding < ROUTERS.div_ceil(2);
         let first_ready = guards.iter().position(|guard| !guard.is_shedding());
         let router = if is_any_used { 0 } else { first_ready.unwrap_or(0) };
-        let handed_on = ASKED * guards[router].offloaded_part();
+        let handed_on = ASKED * guards[router].offloaded_fraction();
         let kept = ASKED - handed_on;
         let work = kept + handed_on * HANDING_ON;
         let is_overloaded = router < FIRST_LARGE && work > CARRIED;
@@ -178,10 +178,14 @@
         served += in_time / turns as f64;
         for (index, guard) in guards.iter_mut().enumerate() {
             let own = usize::from(guard.is_shedding());
-            let others =
-                Others { in_zone: 14, shedding: shedding - own, larger: 2.0 / 14.0, smaller: 0.0 };
+            let peers = PeerCapacity {
+                in_zone: 14,
+                shedding: shedding - own,
+                larger: 2.0 / 14.0,
+                smaller: 0.0,
+            };
             let lag = if index == router && is_overloaded { 80 } else { 0 };
-            guard.on_turn(at(10 * turn_number), Turn { others, ..turn(lag) });
+            guard.on_tick(at(10 * turn_number), Tick { peers, ..turn(lag) });
         }
     }
     assert!(served > 0.8, "{served} of the client's requests are served in 30 s");
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use mastbay_routing::{
-    BackEndId, EndReport, EngineKey, Placement, ProbeTurn, Quarantine, QuarantineLimits,
-    ROUND_PERIOD, Relaying, RequestFingerprint, RequestIdentity, RequestStanding,
+    BackEndId, EngineKey, Placement, ProbeSlot, Quarantine, QuarantineLimits, QuarantineStatus,
+    ROUND_PERIOD, Relaying, RequestFingerprint, RequestIdentity, TerminationReport,
 };
 use mastbay_types::Timestamp;
 use quickcheck::{TestResult, quickcheck};
@@ -30,7 +30,7 @@
     })
 }
 
-fn life(number: u64) -> EngineKey {
+fn incarnation(number: u64) -> EngineKey {
     EngineKey::from(&BackEndId::from(format!("life-{number}").as_str()))
 }
 
@@ -39,49 +39,50 @@
 }
 
 fn is_quarantined(quarantine: &Quarantine, now: Timestamp, number: u64) -> bool {
-    matches!(quarantine.standing(now, request(number)), RequestStanding::Quarantined { .. })
+    matches!(quarantine.status(now, request(number)), QuarantineStatus::Quarantined { .. })
 }
 
 #[test]
 fn the_third_life_that_ends_under_a_request_quarantines_it() {
     let mut quarantine = Quarantine::new(LIMITS);
-    assert_eq!(quarantine.on_end(at(0), life(1), request(1)), None);
-    assert_eq!(quarantine.on_end(at(1), life(2), request(1)), None);
-    assert_eq!(quarantine.standing(at(1), request(1)), RequestStanding::Suspect);
+    assert_eq!(quarantine.on_termination(at(0), incarnation(1), request(1)), None);
+    assert_eq!(quarantine.on_termination(at(1), incarnation(2), request(1)), None);
+    assert_eq!(quarantine.status(at(1), request(1)), QuarantineStatus::Suspect);
     // The same end told again is one end.
-    assert_eq!(quarantine.on_end(at(1), life(2), request(1)), None);
-    let quarantined = quarantine.on_end(at(2), life(3), request(1)).expect("quarantined");
+    assert_eq!(quarantine.on_termination(at(1), incarnation(2), request(1)), None);
+    let quarantined =
+        quarantine.on_termination(at(2), incarnation(3), request(1)).expect("quarantined");
     assert_eq!(quarantined.back_ends.len(), 3);
-    assert_eq!(quarantine.on_end(at(3), life(4), request(1)), None, "told once");
-    assert_eq!(quarantine.standing(at(3), request(2)), RequestStanding::Clear);
+    assert_eq!(quarantine.on_termination(at(3), incarnation(4), request(1)), None, "told once");
+    assert_eq!(quarantine.status(at(3), request(2)), QuarantineStatus::Clear);
 }
 
 #[test]
 fn a_request_that_is_served_is_cleared_of_the_ends_before() {
     let mut quarantine = Quarantine::new(LIMITS);
     for number in 1..=2 {
-        quarantine.on_end(at(0), life(number), request(1));
+        quarantine.on_termination(at(0), incarnation(number), request(1));
     }
     quarantine.clear(request(1));
-    assert_eq!(quarantine.standing(at(0), request(1)), RequestStanding::Clear);
-    quarantine.on_end(at(1), life(3), request(1));
-    assert_eq!(quarantine.standing(at(1), request(1)), RequestStanding::Suspect);
-    assert_eq!(quarantine.ends(at(1), request(1)), 1);
+    assert_eq!(quarantine.status(at(0), request(1)), QuarantineStatus::Clear);
+    quarantine.on_termination(at(1), incarnation(3), request(1));
+    assert_eq!(quarantine.status(at(1), request(1)), QuarantineStatus::Suspect);
+    assert_eq!(quarantine.terminations(at(1), request(1)), 1);
 }
 
 #[test]
 fn an_end_counts_for_its_time_only_wherever_it_was_told() {
     let mut first = Quarantine::new(LIMITS);
     for number in 1..=3 {
-        first.on_end(at(number), life(number), request(1));
+        first.on_termination(at(number), incarnation(number), request(1));
     }
     let reports = first.next_reports(at(300));
     let mut second = Quarantine::new(LIMITS);
     // Its own clock began later.
     assert_eq!(second.on_reports(at(0), &reports, Relaying::Nothing).len(), 1);
-    let standing = second.standing(at(0), request(1));
+    let status = second.status(at(0), request(1));
     let left = Duration::from_secs(301);
-    assert!(matches!(standing, RequestStanding::Quarantined { left: told, .. } if told == left));
+    assert!(matches!(status, QuarantineStatus::Quarantined { left: told, .. } if told == left));
     assert!(!is_quarantined(&second, at(302), 1));
     // What no longer counts is not told again, so it does not come back.
     first.expire(at(604));
@@ -93,19 +94,19 @@
 fn what_is_remembered_is_bounded_and_the_worst_stays() {
     let mut quarantine = Quarantine::new(LIMITS);
     for number in 1..=3 {
-        quarantine.on_end(at(0), life(number), request(0));
+        quarantine.on_termination(at(0), incarnation(number), request(0));
     }
     for number in 1..=6_000 {
-        quarantine.on_end(Timestamp::from_millis(number), life(10), request(number));
+        quarantine.on_termination(Timestamp::from_millis(number), incarnation(10), request(number));
     }
     assert!(is_quarantined(&quarantine, at(6), 0));
-    assert_eq!(quarantine.standing(at(6), request(6_000)), RequestStanding::Suspect);
-    assert_eq!(quarantine.standing(at(6), request(1)), RequestStanding::Clear);
+    assert_eq!(quarantine.status(at(6), request(6_000)), QuarantineStatus::Suspect);
+    assert_eq!(quarantine.status(at(6), request(1)), QuarantineStatus::Clear);
 }
 
 /// Moments, in tenths of a second from the last end, in which one of two routers probes a request that nobody serves.
-fn probes(quarantine: &mut Quarantine, place: u64, until: u64) -> Vec<u64> {
-    let turn = ProbeTurn { place, routers: 2 };
+fn probes(quarantine: &mut Quarantine, index: u64, until: u64) -> Vec<u64> {
+    let turn = ProbeSlot { index, routers: 2 };
     let mut probed = Vec::new();
     for tenth in 0..until {
         let now = at(1) + Duration::from_millis(100 * tenth);
@@ -120,25 +121,25 @@
 fn routers_probe_a_quarantined_request_in_turn_and_pause_after_a_further_end() {
     let mut quarantine = Quarantine::new(LIMITS);
     for number in 1..=3 {
-        quarantine.on_end(at(1), life(number), request(1));
+        quarantine.on_termination(at(1), incarnation(number), request(1));
     }
     assert_eq!(probes(&mut quarantine, 0, 24), [3]);
     let mut other = Quarantine::new(LIMITS);
     for number in 1..=3 {
-        other.on_end(at(1), life(number), request(1));
+        other.on_termination(at(1), incarnation(number), request(1));
     }
     assert_eq!(probes(&mut other, 1, 24), [15]);
-    other.on_end(at(1), life(4), request(1));
+    other.on_termination(at(1), incarnation(4), request(1));
     assert_eq!(probes(&mut other, 1, 340), [315, 339]);
-    other.on_end(at(1), life(5), request(1));
+    other.on_termination(at(1), incarnation(5), request(1));
     assert_eq!(probes(&mut other, 1, 2_900), []);
 }
 
 /// What the tests know of a report: request, life and whether it was cleared, from small numbers so that they meet.
-fn reports_from(numbers: &[(u8, u8, bool)]) -> Vec<EndReport> {
-    let report = |(asked, ended, is_cleared): &(u8, u8, bool)| EndReport {
+fn reports_from(numbers: &[(u8, u8, bool)]) -> Vec<TerminationReport> {
+    let report = |(asked, ended, is_cleared): &(u8, u8, bool)| TerminationReport {
         request: request(u64::from(asked % 4)),
-        back_end: life(u64::from(ended % 5)),
+        back_end: incarnation(u64::from(ended % 5)),
         counts_for_ms: 60_000,
         is_cleared: *is_cleared,
     };
@@ -152,12 +153,12 @@
         in_order.on_reports(at(0), &reports, Relaying::All);
         let mut shuffled = Quarantine::new(LIMITS);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut left: Vec<EndReport> = reports.iter().chain(&reports).copied().collect();
+        let mut left: Vec<TerminationReport> = reports.iter().chain(&reports).copied().collect();
         while !left.is_empty() {
             let drawn = left.swap_remove(random.random_range(0..left.len()));
             shuffled.on_reports(at(0), &[drawn], Relaying::All);
         }
-        (0..4).all(|number| in_order.standing(at(0), request(number)) == shuffled.standing(at(0), request(number)))
+        (0..4).all(|number| in_order.status(at(0), request(number)) == shuffled.status(at(0), request(number)))
     }
 
     fn a_request_is_quarantined_by_three_ends_that_were_not_cleared(numbers: Vec<(u8, u8, bool)>) -> TestResult {
@@ -196,7 +197,7 @@
     fn end(&mut self, router: usize, ended: u64, number: u64) {
         let now = self.fleet.now;
         let known = self.known.get_mut(&address(router)).expect("a router");
-        known.on_end(now, life(ended), request(number));
+        known.on_termination(now, incarnation(ended), request(number));
     }
 
     /// One round of all routers' reports and reminders.
--- a/crates/routing/tests/restored.rs
+++ b/crates/routing/tests/restored.rs
@@ -4,7 +4,7 @@
 
 use mastbay_routing::{
     BackEnd, BackEndList, BackEndState, BackEndUpdate, EvacuatedZones, Evacuations, Revision,
-    SourceContact, Standing,
+    RouterPhase, SourceContact,
 };
 use quickcheck::quickcheck;
 use support::usable::Usable;
@@ -66,7 +66,8 @@
     assert_eq!(usable.ready().len(), 2);
     let base = Some(Revision::new(1, 20));
     let listed = of(Revision::default(), &[("young", Ready)]).back_ends;
-    let update = BackEndUpdate { base, revision: Revision::new(1, 21), listed, gone: Vec::new() };
+    let update =
+        BackEndUpdate { base, revision: Revision::new(1, 21), listed, removed: Vec::new() };
     usable.offer(at(RESTORED + 1_200), false, update);
     usable.expire(at(RESTORED + 20_000));
     assert_eq!(usable.ready().len(), 2);
@@ -100,8 +101,10 @@
     outdated.on_back_ends(at(0), &of(Revision::new(0, 900), &[]));
     restored.on_back_ends(at(0), &of(Revision::new(1, 5), &[]));
     restored.on_source_contact(SourceContact::Answered);
-    let (told_by_restored, told_by_outdated) =
-        (restored.digest(at(1), Standing::Serving), outdated.digest(at(1), Standing::Serving));
+    let (told_by_restored, told_by_outdated) = (
+        restored.digest(at(1), RouterPhase::Serving),
+        outdated.digest(at(1), RouterPhase::Serving),
+    );
     outdated.on_digest(at(2), told_by_restored);
     restored.on_digest(at(2), told_by_outdated);
     assert!(outdated.newer_elsewhere(at(3), 0.5).is_some());
--- a/crates/routing/tests/support/fleet.rs
+++ b/crates/routing/tests/support/fleet.rs
@@ -3,8 +3,8 @@
 
 use super::{configuration, demand, limits, list, prompt};
 use mastbay_routing::{
-    Admission, Dispatcher, DispatcherLimits, Outgoing, PeerId, PeerMessage, ROUND_PERIOD, Standing,
-    SumScope, TicketId,
+    Admission, Dispatcher, DispatcherLimits, Outgoing, PeerId, PeerMessage, ROUND_PERIOD,
+    RouterPhase, SumScope, TicketId,
 };
 use mastbay_types::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -52,11 +52,11 @@
     }
 }
 
-pub fn router(index: usize, life: u64) -> Dispatcher {
-    router_before(index, life, ENGINES)
+pub fn router(index: usize, incarnation: u64) -> Dispatcher {
+    router_before(index, incarnation, ENGINES)
 }
 
-pub fn router_before(index: usize, life: u64, engines: usize) -> Dispatcher {
+pub fn router_before(index: usize, incarnation: u64, engines: usize) -> Dispatcher {
     let is_large = index / ZONES < 3;
     let limits = DispatcherLimits {
         zone: format!("z{}", index % ZONES),
@@ -64,7 +64,7 @@
         ..limits()
     };
     // Lives are random numbers, so no two routers share one.
-    let me = PeerId { address: address(index), life: life * 1_000 + index as u64 };
+    let me = PeerId { address: address(index), incarnation: incarnation * 1_000 + index as u64 };
     let mut dispatcher = Dispatcher::new(limits, me, address(index));
     dispatcher.on_configuration(&configuration(Some(1_000_000)));
     dispatcher.on_back_ends(Timestamp::ZERO, &list(1, engines, SLOTS));
@@ -105,7 +105,7 @@
                 self.seeds.iter().copied().filter(|seed| *seed != sender).collect();
             let now = self.clock(sender);
             let router = self.routers.get_mut(&sender).expect("known");
-            let messages = router.next_round(now, Standing::Serving, &seeds);
+            let messages = router.next_round(now, RouterPhase::Serving, &seeds);
             for message in messages {
                 self.deliver(sender, message);
             }
@@ -150,8 +150,8 @@
         let is_sum = matches!(message, PeerMessage::Sum(_) | PeerMessage::SumForZone(_));
         self.between_zones += u64::from(is_sum && zone(sender) != zone(target));
         if let PeerMessage::Sum(sum) | PeerMessage::SumForZone(sum) = message {
-            let levels = sum.figures.levels.as_ref().map_or(0, Vec::len);
-            let told = sum.figures.loads.len().max(levels);
+            let service_levels = sum.stats.service_levels.as_ref().map_or(0, Vec::len);
+            let told = sum.stats.loads.len().max(service_levels);
             self.most_engines_told = self.most_engines_told.max(told);
         }
         let is_lost = self.lost_one_in > 0 && self.datagrams.is_multiple_of(self.lost_one_in);
@@ -167,7 +167,7 @@
             assert_eq!(router.on_message(heard, message.clone()), None);
         }
         if let Some(new_peer) = new_peer.filter(|new_peer| new_peer.wants_greeting) {
-            let message = PeerMessage::Digest(router.greeting(Standing::Serving));
+            let message = PeerMessage::Digest(router.greeting(RouterPhase::Serving));
             following.push(Outgoing { message, targets: vec![new_peer.address] });
         }
         following
@@ -222,7 +222,7 @@
             if self.silent.contains(address) {
                 continue;
             }
-            let messages = router.next_round(now, Standing::Serving, &[]);
+            let messages = router.next_round(now, RouterPhase::Serving, &[]);
             let serves = messages.iter().any(|outgoing| match &outgoing.message {
                 PeerMessage::Sum(sum) => {
                     sum.scope == SumScope::Fleet && !outgoing.targets.is_empty()
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use mastbay_routing::{
     AllowedRegions, BackEnd, BackEndId, BackEndList, BackEndState, BudgetLimits, Demand, Digest,
     Dispatcher, DispatcherLimits, EngineLimits, ExposureLimits, Limits, PeerId, Policy, Prompt,
-    PromptPart, RoutingConfiguration, Service, Standing, WarmupLimits, ZoneRegions,
+    PromptPart, RouterPhase, RoutingConfiguration, Service, WarmupLimits, ZoneRegions,
 };
 use mastbay_types::Timestamp;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 }
 
 pub fn peer(host: u8) -> PeerId {
-    PeerId { address: address(host), life: u64::from(host) }
+    PeerId { address: address(host), incarnation: u64::from(host) }
 }
 
 pub fn limits() -> DispatcherLimits {
@@ -66,7 +66,7 @@
     let engine = EngineLimits { batch: 8, memory_tokens: 1_000_000, tokens_per_event: 4 };
     let service = |name: &str, engine| Service {
         name: name.to_owned(),
-        most_connections: 100,
+        max_connections: 100,
         cold_rate: None,
         engine,
     };
@@ -92,7 +92,7 @@
         PromptPart { id: 1_000 + subject, tokens: 1_000 },
         PromptPart { id: 1_000_000 + own, tokens: own_tokens },
     ];
-    Prompt { parts, input_tokens: 1_100 + own_tokens, most_output_tokens: 100, output_hint: None }
+    Prompt { parts, input_tokens: 1_100 + own_tokens, max_output_tokens: 100, output_hint: None }
 }
 
 pub fn demand(now: Timestamp, prompt: Option<Prompt>, tenant: &str) -> Demand {
@@ -113,7 +113,7 @@
 
 pub fn exchange_digests(now: Timestamp, fleet: &mut [Dispatcher]) {
     let digests: Vec<Digest> =
-        fleet.iter_mut().map(|one| one.digest(now, Standing::Serving)).collect();
+        fleet.iter_mut().map(|one| one.digest(now, RouterPhase::Serving)).collect();
     for dispatcher in fleet.iter_mut() {
         for digest in &digests {
             dispatcher.on_digest(now, digest.clone());
--- a/crates/routing/tests/support/usable.rs
+++ b/crates/routing/tests/support/usable.rs
@@ -43,10 +43,10 @@
 
     fn take(&mut self, changes: Option<UsableChanges>) {
         let changes = changes.unwrap_or_default();
-        changes.gone.iter().for_each(|id| {
+        changes.removed.iter().for_each(|id| {
             self.held.remove(id);
         });
-        self.held.extend(changes.set.into_iter().map(|one| (one.id.clone(), one)));
+        self.held.extend(changes.updated.into_iter().map(|one| (one.id.clone(), one)));
     }
 
     /// The names of those that take work.
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -19,7 +19,7 @@
         pause_objective: None,
         priority: 1,
         targets: targets.collect(),
-        most_attempts: 2,
+        max_attempts: 2,
         public: false,
         resumable: false,
         regions: AllowedRegions::default(),
--- a/crates/routing/tests/watching.rs
+++ b/crates/routing/tests/watching.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use mastbay_routing::{Candidate, Newcomer, SourceContact, follows_source, watch_wait};
+use mastbay_routing::{Candidate, SourceContact, StartingRouter, follows_source, watch_timeout};
 use quickcheck::quickcheck;
 use std::time::Duration;
 use support::peer;
@@ -24,7 +24,7 @@
     /// A change that a waiting call was not told of is seen well within the bound.
     fn a_wait_leaves_time_to_pass_the_change_on(millis: u16, draw: u8) -> bool {
         let propagation = Duration::from_millis(u64::from(millis) + 500);
-        let wait = watch_wait(propagation, f64::from(draw) / 256.0);
+        let wait = watch_timeout(propagation, f64::from(draw) / 256.0);
         wait <= propagation.mul_f64(0.5) && wait >= propagation.mul_f64(0.2)
     }
 
@@ -66,35 +66,35 @@
     assert_eq!(followers(&fleet).len(), 60);
 }
 
-fn newcomer(millis: u64, routers: usize) -> Newcomer {
+fn newcomer(millis: u64, routers: usize) -> StartingRouter {
     let running = Duration::from_millis(millis);
     let is_seed = false;
-    Newcomer { running, routers, is_seed, follows_source: false, others_reach_source: false }
+    StartingRouter { running, routers, is_seed, follows_source: false, others_reach_source: false }
 }
 
 /// On a deployment of 295 machines each start of the fleet cost 1,500 calls: all read the whole list.
 #[test]
 fn newcomers_of_a_large_fleet_leave_the_source_to_a_few() {
-    assert!(!newcomer(0, 1).asks_source(), "it has heard nobody yet");
-    let first = Newcomer { follows_source: true, ..newcomer(300, 1) };
-    assert!(!first.asks_source(), "the seeds may start 300 ms later");
-    assert!(!newcomer(2_500, 295).asks_source());
-    assert!(Newcomer { is_seed: true, ..newcomer(0, 1) }.asks_source());
-    assert!(!Newcomer { follows_source: true, ..newcomer(400, 295) }.asks_source());
-    assert!(Newcomer { follows_source: true, ..newcomer(1_100, 295) }.asks_source());
+    assert!(!newcomer(0, 1).queries_source(), "it has heard nobody yet");
+    let first = StartingRouter { follows_source: true, ..newcomer(300, 1) };
+    assert!(!first.queries_source(), "the seeds may start 300 ms later");
+    assert!(!newcomer(2_500, 295).queries_source());
+    assert!(StartingRouter { is_seed: true, ..newcomer(0, 1) }.queries_source());
+    assert!(!StartingRouter { follows_source: true, ..newcomer(400, 295) }.queries_source());
+    assert!(StartingRouter { follows_source: true, ..newcomer(1_100, 295) }.queries_source());
 }
 
 #[test]
 fn a_newcomer_that_learns_nothing_from_others_asks_the_source() {
-    assert!(newcomer(420, 1).asks_source(), "it hears nobody");
-    assert!(newcomer(500, 8).asks_source());
-    assert!(newcomer(3_400, 295).asks_source());
+    assert!(newcomer(420, 1).queries_source(), "it hears nobody");
+    assert!(newcomer(500, 8).queries_source());
+    assert!(newcomer(3_400, 295).queries_source());
 }
 
 /// The operator's first configuration came seconds after the start, and meanwhile all routers asked for it.
 #[test]
 fn nobody_asks_for_what_is_not_there_yet() {
-    let waiting = Newcomer { others_reach_source: true, ..newcomer(8_000, 295) };
-    assert!(!waiting.asks_source());
-    assert!(Newcomer { follows_source: true, ..waiting }.asks_source());
+    let waiting = StartingRouter { others_reach_source: true, ..newcomer(8_000, 295) };
+    assert!(!waiting.queries_source());
+    assert!(StartingRouter { follows_source: true, ..waiting }.queries_source());
 }
--- a/crates/simulation/src/router_fleet.rs
+++ b/crates/simulation/src/router_fleet.rs
@@ -5,7 +5,7 @@
 use mastbay_routing::{
     Admission, AllowedRegions, BackEnd, BackEndId, BackEndList, BackEndState, BudgetLimits, Demand,
     Dispatcher, DispatcherLimits, EngineLimits, ExposureLimits, Limits, PeerId, Placement, Policy,
-    Prompt, PromptPart, RoutingConfiguration, Service, Standing, TicketId, WarmupLimits,
+    Prompt, PromptPart, RouterPhase, RoutingConfiguration, Service, TicketId, WarmupLimits,
     ZoneRegions,
 };
 use mastbay_types::Timestamp;
@@ -230,7 +230,7 @@
         let prompt = Prompt {
             parts,
             input_tokens: PREFIX_TOKENS + own,
-            most_output_tokens: 200,
+            max_output_tokens: 200,
             output_hint: None,
         };
         let tenant = format!("tenant-{}", self.random.random_range(0..16));
@@ -280,7 +280,7 @@
 
     fn send_digest(&mut self, router: usize) {
         self.dispatchers[router].expire_peers(self.now);
-        let digest = self.dispatchers[router].digest(self.now, Standing::Serving);
+        let digest = self.dispatchers[router].digest(self.now, RouterPhase::Serving);
         let heard = self.now + DATAGRAM_TIME;
         for (index, peer) in self.dispatchers.iter_mut().enumerate() {
             if index != router {
@@ -323,11 +323,11 @@
         most_waiting: 400,
         policy: Policy::default(),
     };
-    let me = PeerId { address: address(index), life: 1 };
+    let me = PeerId { address: address(index), incarnation: 1 };
     let engine = EngineLimits { batch: 48, memory_tokens: 1_000_000, tokens_per_event: 1 };
     let service = Service {
         name: SERVICE.to_owned(),
-        most_connections: 100,
+        max_connections: 100,
         cold_rate: None,
         engine: Some(engine),
     };
