--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -84,7 +84,7 @@
     ListenerLimits {
         max_connections: router.settings.max_connections(),
         head_bytes: configured.head_bytes,
-        idle_timeout: configured.idle_time,
+        idle_timeout: configured.idle_timeout,
         overflow_fraction: 0.0,
         max_age: None,
         hello: None,
--- a/crates/router/src/forwarding.rs
+++ b/crates/router/src/forwarding.rs
@@ -35,7 +35,7 @@
             return copy_to(&router, table, peer, offloaded, caller).await;
         }
     }
-    if rand::random::<f64>() >= router.turned_away_part() {
+    if rand::random::<f64>() >= router.rejected_fraction() {
         router.note_overflow(OverflowOutcome::ServedLocally);
         return OverflowResult::ServeHere(caller);
     }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -38,11 +38,11 @@
 
 async fn send_round(router: &Rc<Router>, socket: &UdpSocket) {
     let seeds = seeds(router);
-    let standing = router.phase();
+    let phase = router.phase();
     let messages = {
         let mut dispatcher = router.dispatcher.borrow_mut();
         let earlier = dispatcher.role();
-        let messages = dispatcher.next_round(router.now(), standing, &seeds);
+        let messages = dispatcher.next_round(router.now(), phase, &seeds);
         if dispatcher.role() != earlier {
             events::role_changed(dispatcher.role(), dispatcher.routers());
         }
