--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -6,14 +6,13 @@
 use crate::offload::{OffloadError, PeerFailure};
 use crate::outcome::Outcome;
 use crate::overflow::OverflowCounts;
-use crate::write_timeout::WRITE_TIMEOUT;
 use crate::update_signal::Origin;
+use crate::write_timeout::WRITE_TIMEOUT;
 use hyper::StatusCode;
 use mastbay_routing::{
     BackEnd, BackEndDirectory, BackEndId, EngineKey, EvacuatedZones, Fault, Placement,
     QuarantinedRequest, RefusalDetails, RequestFingerprint, Revision, Role, RolloutRecord,
-    Rollouts, RouteTable,
-    Tick, UsableChanges,
+    Rollouts, RouteTable, Tick, UsableChanges,
 };
 use mastbay_types::Timestamp;
 use std::collections::BTreeSet;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -44,8 +44,8 @@
 mod stop;
 mod throttled_reader;
 mod ticket;
-mod write_timeout;
 mod update_signal;
+mod write_timeout;
 
 pub use listener::{ListenerLimits, StopSignal};
 pub use metrics::RouterMetrics;
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -469,7 +469,8 @@
 
     /// Time until the next turn: soon while requests wait or the router is hard pressed.
     fn turn_period(&self) -> Duration {
-        let is_under_pressure = self.overload.borrow().is_under_pressure() || self.phase() == RouterPhase::Shedding;
+        let is_under_pressure =
+            self.overload.borrow().is_under_pressure() || self.phase() == RouterPhase::Shedding;
         if is_under_pressure || self.dispatcher.borrow().has_waiting() {
             TURN_PERIOD
         } else {
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -265,7 +265,8 @@
         let settings = RouterSettings { zone: zone.to_owned(), ..settings(&mut ports) };
         // The router's listeners stay open as long as this process runs, and so must its block.
         std::mem::forget(ports);
-        let seams = Dialects { callers: Box::new(NativeDialect), back_ends: Box::new(NativeDialect) };
+        let seams =
+            Dialects { callers: Box::new(NativeDialect), back_ends: Box::new(NativeDialect) };
         let mut registry = Registry::default();
         let metrics = RouterMetrics::register(&mut registry);
         let router = Router::new(settings.clone(), seams, runtime, metrics);
