--- a/crates/router/src/catalogue.rs
+++ b/crates/router/src/catalogue.rs
@@ -1,5 +1,7 @@
-//! The seam toward the sources of configuration and back ends: what a router has in force, which only
-//! ever goes forward within its life.
+//! The configuration, back ends, evacuations and roll-outs that a router has in force.
+//!
+//! Sources plug in here. For as long as a router runs, each part is only replaced by a newer
+//! version.
 
 use mastbay_routing::{
     BackEndDirectory, BackEndUpdate, EvacuatedZones, Evacuations, Revision, Rollouts, RouteTable,
@@ -9,20 +11,20 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Configuration and back ends as one router passes them on to another.
+/// Configuration and back ends as one router sends them to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The configuration, if one is known.
+    /// The configuration; `None` if the sender has no newer one.
     pub configuration: Option<RoutingConfiguration>,
-    /// What changed among the back ends, or all of them, if they are known.
+    /// All back ends, or what changed among them; `None` if the sender has no newer revision.
     pub back_ends: Option<BackEndUpdate>,
-    /// The evacuated zones, if they are known.
+    /// The evacuated zones; `None` if the sender has no newer revision.
     pub evacuations: Option<EvacuatedZones>,
-    /// The orders for roll-outs, if they are known.
+    /// The roll-out orders; `None` if the sender has no newer revision.
     pub rollouts: Option<Rollouts>,
 }
 
-/// The versions of what a router has in force; the least for what it does not know.
+/// The versions that a router has in force; zero for what it does not know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Versions {
     /// Version of the configuration.
@@ -31,36 +33,36 @@
     pub back_ends: Revision,
     /// Revision of the evacuated zones.
     pub evacuations: Revision,
-    /// Revision of the orders for roll-outs.
+    /// Revision of the roll-out orders.
     pub rollouts: Revision,
 }
 
-/// What an operator may order, so that a router has to know the orders before it serves.
+/// The kinds of operator orders that are enabled. A router serves only once it knows them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EnabledOrders {
-    /// Zones may be evacuated.
+    /// Operators may evacuate zones.
     pub evacuations: bool,
-    /// Versions may be rolled out.
+    /// Operators may roll out versions.
     pub rollouts: bool,
 }
 
-/// What is in force.
+/// The state in force; each part is absent until a source delivers it.
 #[derive(Debug, Default)]
 pub struct Catalogue {
     table: Option<Rc<RouteTable>>,
     back_ends: BackEndDirectory,
     evacuations: Evacuations,
     rollouts: Option<Rollouts>,
-    possible: EnabledOrders,
+    enabled: EnabledOrders,
 }
 
 impl Catalogue {
-    /// A catalogue that knows nothing yet.
-    pub fn new(possible: EnabledOrders) -> Self {
-        Self { possible, ..Self::default() }
+    /// Creates an empty catalogue.
+    pub fn new(enabled: EnabledOrders) -> Self {
+        Self { enabled, ..Self::default() }
     }
 
-    /// Takes orders for roll-outs if they are newer than those known. Gives whether it did.
+    /// Replaces the roll-out orders if `offered` is newer. Returns whether it is.
     pub fn offer_rollouts(&mut self, offered: &Rollouts) -> bool {
         let known = self.rollouts.as_ref().map(|known| known.revision);
         let is_newer = known.is_none_or(|known| known < offered.revision);
@@ -70,7 +72,7 @@
         is_newer
     }
 
-    /// Takes a configuration if it is newer than the one in force.
+    /// Replaces the configuration if `offered` is newer. Returns the new route table if so.
     pub fn offer_configuration(&mut self, offered: RoutingConfiguration) -> Option<Rc<RouteTable>> {
         if self.table.as_ref().is_some_and(|table| table.version() >= offered.version) {
             return None;
@@ -80,8 +82,8 @@
         Some(table)
     }
 
-    /// Takes what changed among the back ends if it is newer than what is known; right after an outage of the source it
-    /// may lack living ones (`recovering`). Gives what changes for those that use them.
+    /// Applies a back-end update if it is newer. `recovering` is set shortly after an outage of the
+    /// source, when the update may lack live back ends. Returns the changes to usable back ends.
     pub fn offer_back_ends(
         &mut self,
         now: Timestamp,
@@ -91,7 +93,8 @@
         self.back_ends.apply(now, recovering, offered)
     }
 
-    /// Takes evacuated zones if they are newer than those known. Gives the zones to spare from now on.
+    /// Replaces the evacuated zones if `offered` is newer. Returns the zones that get no new
+    /// requests.
     pub fn offer_evacuations(
         &mut self,
         now: Timestamp,
@@ -101,40 +104,42 @@
         self.evacuations.in_force().filter(|_| is_newer)
     }
 
-    /// Takes back ends as gone that have been missing for too long, and believes a restored source after a while. Gives what changes
-    /// for those that use them, if anything does.
+    /// Removes back ends that have been missing for too long, and trusts a restored source once its
+    /// uncertainty window has ended. Returns the changes to usable back ends, if there are any.
     pub fn expire_back_ends(&mut self, now: Timestamp) -> Option<UsableChanges> {
         self.back_ends.expire(now)
     }
 
-    /// Believes a restored source after a while. Gives the zones to spare from now on, if there is any change.
+    /// Trusts a restored source once its uncertainty window has ended. Returns the zones that get
+    /// no new requests, if they may have changed.
     pub fn expire_evacuations(&mut self, now: Timestamp) -> Option<EvacuatedZones> {
-        let is_believed = self.evacuations.expire(now);
-        self.evacuations.in_force().filter(|_| is_believed)
+        let is_trusted = self.evacuations.expire(now);
+        self.evacuations.in_force().filter(|_| is_trusted)
     }
 
-    /// The configuration in force.
+    /// Returns the route table of the configuration in force.
     pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.clone()
     }
 
-    /// The back ends known.
+    /// Returns the known back ends.
     pub fn back_ends(&self) -> &BackEndDirectory {
         &self.back_ends
     }
 
-    /// Whether requests can be served. A router that knows no evacuations might send to a zone that is to get nothing, and one that
-    /// knows no roll-outs to a version that is not judged yet.
+    /// Returns whether everything is known that serving requests needs. Without evacuations a
+    /// router might send to an evacuated zone, and without roll-outs to a version that is not yet
+    /// evaluated.
     pub fn is_complete(&self) -> bool {
-        let knows_evacuations = !self.possible.evacuations || self.evacuations.known().is_some();
-        let knows_rollouts = !self.possible.rollouts || self.rollouts.is_some();
+        let knows_evacuations = !self.enabled.evacuations || self.evacuations.known().is_some();
+        let knows_rollouts = !self.enabled.rollouts || self.rollouts.is_some();
         self.table.is_some()
             && self.back_ends.revision().is_some()
             && knows_evacuations
             && knows_rollouts
     }
 
-    /// The versions in force.
+    /// Returns the versions in force.
     pub fn versions(&self) -> Versions {
         Versions {
             configuration: self.table.as_ref().map_or(0, |table| table.version()),
@@ -144,7 +149,7 @@
         }
     }
 
-    /// What is passed on to a router that has `known` in force: only what is newer.
+    /// Returns what is newer than `known`, the versions that the receiving router has in force.
     pub fn snapshot(&self, known: Versions) -> Snapshot {
         let table = self.table.as_ref().filter(|table| table.version() > known.configuration);
         let revision = self.back_ends.revision();
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,34 +1,36 @@
-//! The router's one source of time: a clock that never goes back and counts the time for which the machine is suspended.
+//! The router's time source: a monotonic clock that includes the time for which the machine is
+//! suspended.
 //!
-//! The standard library's clock stands still meanwhile. By it a request's time left is told to back ends as if its caller had stood
-//! still too, and what was known before a suspension of minutes looks fresh after it. The time of day decides nothing.
+//! `std::time::Instant` stops during a suspension, so requests would reach back ends with too much
+//! time left, and state from before it would look fresh. Wall-clock time decides nothing.
 
 use mastbay_types::Timestamp;
 use rustix::time::{ClockId, clock_gettime};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A clock.
+/// The boot-time clock, with an offset for tests.
 #[derive(Debug, Default)]
 pub struct Clock {
-    /// Time by which it is ahead of the machine's, in microseconds; none but in tests. The HTTP library asks for what threads may share.
-    ahead: AtomicU64,
+    /// Offset in microseconds, zero except in tests. Atomic because the HTTP library's timer trait
+    /// requires `Sync`.
+    offset_micros: AtomicU64,
 }
 
 impl Clock {
-    /// Time since the machine started, suspensions included.
+    /// Returns the time since the machine started, suspensions included.
     pub fn now(&self) -> Timestamp {
         let now = clock_gettime(ClockId::Boottime);
-        // Neither part is negative, and the second one is below a second.
+        // Neither part is negative, and `tv_nsec` is below one second.
         let seconds = u64::try_from(now.tv_sec).unwrap_or_default();
         let nanoseconds = u32::try_from(now.tv_nsec).unwrap_or_default();
-        let ahead = Duration::from_micros(self.ahead.load(Ordering::Relaxed));
-        Timestamp::ZERO + Duration::new(seconds, nanoseconds) + ahead
+        let offset = Duration::from_micros(self.offset_micros.load(Ordering::Relaxed));
+        Timestamp::ZERO + Duration::new(seconds, nanoseconds) + offset
     }
 
-    /// Goes ahead, as after a suspension.
+    /// Advances the clock by `span`, as a suspension does.
     pub fn advance(&self, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        self.ahead.fetch_add(micros, Ordering::Relaxed);
+        self.offset_micros.fetch_add(micros, Ordering::Relaxed);
     }
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,4 +1,4 @@
-//! The events that a router logs, one key=value line each; docs/OPERATIONS.md lists them.
+//! The log events of a router, one line of key=value pairs each; docs/OPERATIONS.md lists them.
 
 use crate::call::Call;
 use crate::dialect::{OwnAnswer, RetryAfterError};
@@ -19,7 +19,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// A request ended. What decided against it follows if it was refused.
+/// Logs the end of a request, with the details of the refusal if it was refused.
 pub fn request_ended(call: &Call, outcome: &Outcome, now: Timestamp) {
     match call.trace.borrow().considered.as_ref() {
         Some(considered) => refused(call, outcome, considered, now),
@@ -97,7 +97,7 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A request was answered before it was routed.
+/// Logs a request that the router answered before routing it.
 pub fn request_turned_away(
     request_id: Option<&str>,
     answer: OwnAnswer,
@@ -115,13 +115,13 @@
     );
 }
 
-/// Lines about requests were left out in the last second, since there were too many.
+/// Logs how many lines about requests the rate limit suppressed in the last second.
 pub fn lines_left_out(left_out: SuppressedLines) {
     let SuppressedLines { successes, failures } = left_out;
     tracing::warn!(event = "lines_left_out", successes, failures);
 }
 
-/// A try at a back end failed.
+/// Logs a failed attempt at a back end.
 pub fn try_failed(call: &Call, placement: &Placement, fault: Fault, reason: &'static str) {
     tracing::info!(
         event = "try_failed",
@@ -136,7 +136,7 @@
     );
 }
 
-/// A stream was taken up at another back end, or could not be.
+/// Logs the attempt to resume a stream; `found` is whether a back end could resume it.
 pub fn stream_resumed(call: &Call, reason: &'static str, last_event: Option<u64>, found: bool) {
     tracing::info!(
         event = "stream_resumed",
@@ -148,7 +148,8 @@
     );
 }
 
-/// A back end ended while requests were under way there: their connections broke, and it refuses new ones.
+/// Logs that a back end terminated with requests in progress: their connections broke, and it
+/// refuses new ones.
 pub fn back_end_ended(back_end: &BackEnd, requests: &BTreeSet<RequestFingerprint>) {
     tracing::warn!(
         event = "back_end_ended",
@@ -159,7 +160,8 @@
     );
 }
 
-/// A back end said in its answer to a request that it ends soon; `source` is who was told so (`own`, or another router).
+/// Logs that a back end announced its shutdown in an answer. `source` is `own` or the address of
+/// the router that reported it.
 pub fn back_end_draining(back_end: &BackEndId, request_id: Option<&str>, source: &str) {
     tracing::info!(
         event = "back_end_draining",
@@ -170,7 +172,7 @@
     );
 }
 
-/// A back end turned a request away and asked this router for no more of them for a while.
+/// Logs that a back end rejected a request and asked this router to send none for `backoff`.
 pub fn back_end_backoff(
     back_end: &BackEndId,
     backoff: Duration,
@@ -186,7 +188,7 @@
     );
 }
 
-/// A back end turned a request away with a time that can't be followed.
+/// Logs that a back end rejected a request with an invalid time to retry after.
 pub fn retry_after_malformed(back_end: &BackEndId, error: &RetryAfterError, request_id: &str) {
     tracing::warn!(
         event = "retry_after_malformed",
@@ -196,8 +198,9 @@
     );
 }
 
-/// A request is sent to no back end from now on. `back_ends` are the names, in messages between routers, of the lives that ended under
-/// it; `source` is who told the last of them.
+/// Logs that a request is quarantined: it is sent to no back end. `back_ends` are the keys, as in
+/// messages between routers, of the back-end incarnations that terminated while they ran it;
+/// `source` is where the last report came from: `own`, `archive` or the address of a router.
 pub fn request_quarantined(quarantined: &QuarantinedRequest, source: &str) {
     let back_ends = quarantined.back_ends.iter().map(EngineKey::to_string);
     tracing::warn!(
@@ -209,22 +212,22 @@
     );
 }
 
-/// A quarantined request is let through to see whether back ends bear it.
+/// Logs that a quarantined request is sent to a back end as a probe.
 pub fn request_probed(request: RequestFingerprint, request_id: &str) {
     tracing::info!(event = "request_probed", request = request_id, fingerprint = %request);
 }
 
-/// A quarantined request was written where it outlives the routers.
+/// Logs that a quarantined request was written to the archive.
 pub fn quarantine_archived(request: RequestFingerprint) {
     tracing::info!(event = "quarantine_archived", fingerprint = %request);
 }
 
-/// An operator removed the entry of a quarantined request: it is sent to back ends again.
+/// Logs that an operator removed a quarantine entry: the request is sent to back ends again.
 pub fn quarantine_lifted(request: RequestFingerprint) {
     tracing::warn!(event = "quarantine_lifted", fingerprint = %request);
 }
 
-/// A configuration is in force.
+/// Logs that a configuration came into force.
 pub fn configuration_in_force(table: &RouteTable, origin: Origin) {
     let configuration = table.configuration();
     tracing::info!(
@@ -238,7 +241,7 @@
     );
 }
 
-/// Changes of back ends are known.
+/// Logs a change of the known back ends.
 pub fn back_ends_known(known: &BackEndDirectory, changes: &UsableChanges, origin: Origin) {
     tracing::info!(
         event = "back_ends_known",
@@ -251,7 +254,7 @@
     );
 }
 
-/// The evacuated zones are known.
+/// Logs a change of the evacuated zones.
 pub fn evacuations_known(evacuated: &EvacuatedZones, origin: Origin) {
     let zones: Vec<&str> = evacuated.zones.iter().map(String::as_str).collect();
     tracing::info!(
@@ -262,12 +265,12 @@
     );
 }
 
-/// A caller's connection was ended, since the caller read nothing of its answer for some seconds.
+/// Logs that a caller's connection was closed because the caller stopped reading its answer.
 pub fn answer_unread(caller: SocketAddr) {
     tracing::info!(event = "answer_unread", caller = %caller, waited_ms = WRITE_TIMEOUT.as_millis() as u64);
 }
 
-/// The orders for roll-outs are known.
+/// Logs a change of the roll-out orders, one line for each.
 pub fn rollouts_known(rollouts: &Rollouts, origin: Origin) {
     for order in &rollouts.orders {
         tracing::info!(
@@ -281,7 +284,7 @@
     }
 }
 
-/// A state of a roll-out was recorded where its order lies.
+/// Logs that the state of a roll-out was recorded at its source.
 pub fn rollout_recorded(record: &RolloutRecord) {
     tracing::info!(
         event = "rollout_recorded",
@@ -291,8 +294,8 @@
     );
 }
 
-/// New connections of callers were not simply served since the last such line. `turned_away` and `full` were closed unread, so
-/// they are part of no tenant's rate.
+/// Logs the new connections since the last such line that were not served normally. Those in
+/// `turned_away` and `full` were closed unread, so no tenant's rate includes them.
 pub fn connections_overflowed(counts: OverflowCounts, lateness: f64) {
     let OverflowCounts { forwarded, unanswered, served_locally, rejected, full } = counts;
     tracing::info!(
@@ -306,7 +309,7 @@
     );
 }
 
-/// A peer did not take a connection.
+/// Logs that a peer did not accept a connection.
 pub fn not_offloaded(peer: SocketAddr, error: &OffloadError) {
     let version = match error {
         OffloadError::OtherConfiguration { peer } => Some(*peer),
@@ -320,22 +323,22 @@
     );
 }
 
-/// A peer took a connection with a request and gave no answer.
-pub fn handed_on_unanswered(peer: SocketAddr, loss: PeerFailure, waited: Duration) {
+/// Logs that a peer accepted a connection and did not answer a request on it.
+pub fn handed_on_unanswered(peer: SocketAddr, failure: PeerFailure, waited: Duration) {
     tracing::warn!(
         event = "handed_on_unanswered",
         peer = %peer,
-        reason = %loss,
+        reason = %failure,
         waited_ms = milliseconds(waited),
     );
 }
 
-/// A peer was heard for the first time.
+/// Logs the first message from a peer.
 pub fn peer_heard(peer: SocketAddr, routers: usize) {
     tracing::info!(event = "peer_heard", peer = %peer, routers);
 }
 
-/// The router tells its figures in another way than before.
+/// Logs a change of the router's role in the exchange of load reports.
 pub fn role_changed(role: Role, routers: usize) {
     let aggregator = match role {
         Role::Member(aggregator) => Some(aggregator.to_string()),
@@ -344,27 +347,27 @@
     tracing::info!(event = "role_changed", role = role.name(), aggregator, routers);
 }
 
-/// A message to other routers could not be encoded.
+/// Logs that a message to other routers could not be encoded.
 pub fn message_not_encoded(error: &rmp_serde::encode::Error) {
     tracing::error!(event = "message_not_encoded", error = %error);
 }
 
-/// A message did not leave for some of its targets; the last error stands for all.
+/// Logs that a message could not be sent to `failed` of its targets; `error` is the last error.
 pub fn message_not_sent(failed: usize, bytes: usize, error: &std::io::Error) {
     tracing::warn!(event = "message_not_sent", failed, bytes, error = %error);
 }
 
-/// An object of a source can't be read; what was known of it before stays only if it is a configuration.
+/// Logs that an object of a source cannot be parsed. Only a configuration keeps its previous state.
 pub fn object_not_understood(kind: &str, name: &str, error: &impl std::fmt::Display) {
     tracing::warn!(event = "object_not_understood", kind, name, error = %error);
 }
 
-/// A dependency was lost or regained.
+/// Logs that a dependency became unavailable or available again.
 pub fn dependency(name: &str, available: bool, detail: &str) {
     tracing::info!(event = "dependency", name, available, detail);
 }
 
-/// The router begins or ceases to send new callers elsewhere.
+/// Logs that the router starts or stops shedding new callers.
 pub fn overload(shedding: bool, lateness: f64, turn: Tick) {
     tracing::info!(
         event = "overload",
@@ -376,12 +379,12 @@
     );
 }
 
-/// The router did nothing for a while: its machine was suspended or frozen, or it got no processor time.
+/// Logs a stall: the machine was suspended or frozen, or the process got no processor time.
 pub fn stood_still(lasted: Duration) {
     tracing::warn!(event = "stood_still", lasted_ms = milliseconds(lasted));
 }
 
-/// A phase of the process's life began.
-pub fn life(phase: &str, name: &str) {
+/// Logs that the process starts, reloads or stops.
+pub fn process(phase: &str, name: &str) {
     tracing::info!(event = "process", phase, name);
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,9 @@
-//! A router that decides alone: it serves callers, keeps connections to back ends, tells its peers what
-//! it has under way, and passes configuration on to those that miss it.
+//! A decentralized request router: it serves callers, keeps connections to back ends, exchanges
+//! load reports with its peers, and distributes configuration to peers that lack it.
 //!
-//! What callers and back ends speak, and where configuration and back ends come from, plugs in at the
-//! seams in [`dialect`], [`catalogue`] and [`quarantine_archive`]. Everything runs on one thread.
+//! The protocols of callers and back ends and the sources of configuration and back ends are
+//! pluggable; see [`dialect`], [`catalogue`] and [`quarantine_archive`]. Everything runs on one
+//! thread.
 
 mod back_end_notices;
 pub mod body_budget;
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a router.
+//! Metrics of a router.
 
 use crate::call::Call;
 use crate::dialect::OwnAnswer;
@@ -12,7 +12,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Labels of ended requests; bounded by the configuration.
+/// Labels of ended requests. The configuration bounds the number of their values.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct EndLabels {
     route: String,
@@ -25,7 +25,7 @@
     status: u16,
 }
 
-/// Figures of a router.
+/// Counters, gauges and histograms of a router.
 #[derive(Debug, Clone)]
 pub struct RouterMetrics {
     ended: Family<EndLabels, Counter>,
@@ -34,7 +34,7 @@
     closed_unread: Counter,
     back_ends_ended: Counter,
     draining_answers: Counter,
-    backoffs_asked: Counter,
+    backoffs_requested: Counter,
     backing_off: Gauge,
     quarantined: Gauge,
     quarantined_calls: Counter,
@@ -44,7 +44,7 @@
 }
 
 impl RouterMetrics {
-    /// Registers the figures.
+    /// Creates the metrics and adds them to `registry`.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self {
             ended: Family::default(),
@@ -53,7 +53,7 @@
             closed_unread: Counter::default(),
             back_ends_ended: Counter::default(),
             draining_answers: Counter::default(),
-            backoffs_asked: Counter::default(),
+            backoffs_requested: Counter::default(),
             backing_off: Gauge::default(),
             quarantined: Gauge::default(),
             quarantined_calls: Counter::default(),
@@ -78,7 +78,7 @@
         registry.register(name, help, metrics.draining_answers.clone());
         let name = "mastbay_router_backoffs_asked";
         let help = "requests that back ends turned away with a time for which they want no more";
-        registry.register(name, help, metrics.backoffs_asked.clone());
+        registry.register(name, help, metrics.backoffs_requested.clone());
         let name = "mastbay_router_back_ends_backing_off";
         let help = "back ends that want no requests of this router now";
         registry.register(name, help, metrics.backing_off.clone());
@@ -98,7 +98,7 @@
         metrics
     }
 
-    /// A request ended.
+    /// Counts an ended request and observes its duration.
     pub fn on_end(&self, call: &Call, outcome: &Outcome, now: Timestamp) {
         let route = call.entry.route.name.clone();
         let labels = EndLabels { route, outcome: outcome.kind.to_string() };
@@ -106,12 +106,12 @@
         self.duration.observe(now.since(call.arrived).as_secs_f64());
     }
 
-    /// A stream's first event came.
+    /// Observes the time to the first event of a stream.
     pub fn on_first_event(&self, call: &Call, now: Timestamp) {
         self.first_event.observe(now.since(call.arrived).as_secs_f64());
     }
 
-    /// A new connection was not simply served.
+    /// Counts a new connection that was forwarded or closed unread.
     pub fn on_overflow(&self, outcome: OverflowOutcome) {
         match outcome {
             OverflowOutcome::Forwarded => self.offloaded.inc(),
@@ -120,47 +120,47 @@
         };
     }
 
-    /// Connections were closed unread since as many as may be open were open.
+    /// Counts connections closed unread because the maximum number of connections was open.
     pub fn on_full(&self, connections: u32) {
         self.closed_unread.inc_by(u64::from(connections));
     }
 
-    /// A back end ended with requests under way.
+    /// Counts a back end that terminated with requests in progress.
     pub fn on_back_end_ended(&self) {
         self.back_ends_ended.inc();
     }
 
-    /// A back end said for the first time that it ends soon.
+    /// Counts a back end that announced its shutdown in an answer, once for each.
     pub fn on_back_end_draining(&self) {
         self.draining_answers.inc();
     }
 
-    /// A back end turned a request away and asked for no more for a while.
+    /// Counts a rejection by a back end that asked for no requests for a while.
     pub fn on_backoff_requested(&self) {
-        self.backoffs_asked.inc();
+        self.backoffs_requested.inc();
     }
 
-    /// So many back ends want no requests now.
+    /// Sets the number of back ends that asked for no requests at present.
     pub fn set_backing_off(&self, back_ends: usize) {
         self.backing_off.set(i64::try_from(back_ends).unwrap_or(i64::MAX));
     }
 
-    /// So many requests are quarantined.
+    /// Sets the number of quarantined requests.
     pub fn set_quarantined(&self, requests: usize) {
         self.quarantined.set(i64::try_from(requests).unwrap_or(i64::MAX));
     }
 
-    /// Connections were ended, since their callers did not read.
+    /// Counts connections closed because their callers did not read their answers.
     pub fn on_unread(&self, connections: u32) {
         self.unread.inc_by(u64::from(connections));
     }
 
-    /// A quarantined request came.
+    /// Counts an arrival of a quarantined request.
     pub fn on_quarantined_call(&self) {
         self.quarantined_calls.inc();
     }
 
-    /// The router answered by itself.
+    /// Counts an answer of the router's own.
     pub fn on_own_answer(&self, answer: OwnAnswer) {
         let labels = AnswerLabels { status: answer.status().as_u16() };
         self.own_answers.get_or_create(&labels).inc();
--- a/crates/router/src/offload.rs
+++ b/crates/router/src/offload.rs
@@ -1,11 +1,13 @@
-//! Connection offload: a router with more to do than it carries hands new connections of callers to a peer.
+//! Connection offload: an overloaded router forwards new connections of callers to a peer.
 //!
-//! The connection is copied byte by byte and not read, which costs a fraction of serving its requests, and what comes
-//! back is copied at intervals. The peer greets before the first byte of the caller goes out, so a connection that no
-//! peer takes is whole and can still be served or closed here. Connections that a peer was handed go no further.
+//! Bytes are copied without parsing, which costs a fraction of serving the requests, and answers
+//! are copied at intervals. The peer sends a hello before any byte of the caller is forwarded, so a
+//! connection that no peer accepts can still be served or closed here. Peers do not forward it
+//! again.
 //!
-//! Both routers have the same configuration in force when a connection is handed on. The peer serves it by that one, and requests
-//! are copied only while it is in force here: callers of one address meet one configuration at a time.
+//! Both routers must have the same configuration in force. The peer serves the connection by it,
+//! and requests are copied only while it is in force here: callers of one address see one
+//! configuration at a time.
 
 use crate::runtime::Runtime;
 use derive_more::{Display, Error};
@@ -21,255 +23,263 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// Length of a greeting, in bytes.
+/// Length of a hello, in bytes.
 pub const HELLO_LENGTH: usize = 9;
-/// What a greeting begins with.
-const TAKEN: u8 = b'+';
-/// Time for a peer to take a connection: several times a round trip between machines of a zone.
-const GREETING_LIMIT: Duration = Duration::from_millis(150);
-/// Bytes copied at a time.
+/// First byte of a hello.
+const HELLO_MARKER: u8 = b'+';
+/// Timeout for a peer to accept a connection: several round trips between machines of a zone.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum number of bytes copied at a time.
 const BUFFER_SIZE: usize = 32 << 10;
-/// Bytes that are kept of how a request begins: its head, of most.
-const START_KEPT: usize = 4 << 10;
-/// Time between two looks at whether an answer is overdue. Most connections have ended before the first.
-const SILENCE_PERIOD: Duration = Duration::from_millis(400);
-/// Reads of an answer that are not delayed: its head may come before its first event.
-const PROMPT_READS: u32 = 2;
+/// Bytes kept from the start of a request, enough for the head of most.
+const MAX_REQUEST_START: usize = 4 << 10;
+/// Interval between checks for an overdue answer. Most connections end before the first check.
+const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(400);
+/// Reads of an answer that are not delayed, since its head may come before its first event.
+const IMMEDIATE_READS: u32 = 2;
 
-/// What a peer sends first on a connection that it takes: a plus sign and the version of the configuration that it serves it by,
-/// in eight bytes, the highest first.
+/// Returns the first bytes that a peer sends on a connection that it accepts: a plus sign and the
+/// version of the configuration that it serves, in eight bytes, big endian.
 pub fn hello(version: u64) -> [u8; HELLO_LENGTH] {
-    let mut greeting = [TAKEN; HELLO_LENGTH];
-    greeting[1..].copy_from_slice(&version.to_be_bytes());
-    greeting
+    let mut bytes = [HELLO_MARKER; HELLO_LENGTH];
+    bytes[1..].copy_from_slice(&version.to_be_bytes());
+    bytes
 }
 
-/// The version that a greeting tells; nothing if it is none.
-fn greeted_version(greeting: [u8; HELLO_LENGTH]) -> Option<u64> {
-    let (first, version) = greeting.split_first()?;
+/// Returns the configuration version in a hello; `None` if the bytes are not a hello.
+fn hello_version(hello: [u8; HELLO_LENGTH]) -> Option<u64> {
+    let (first, version) = hello.split_first()?;
     let version = version.try_into().ok().map(u64::from_be_bytes);
-    version.filter(|_| *first == TAKEN)
+    version.filter(|_| *first == HELLO_MARKER)
 }
 
-/// Why a peer did not take a connection.
+/// The reason why a peer did not accept a connection.
 #[derive(Debug, Display, Error)]
 pub enum OffloadError {
-    /// It cannot be reached.
+    /// The peer cannot be reached.
     #[display("unreachable")]
     Unreachable(std::io::Error),
-    /// It closed the connection: it has no room itself.
+    /// The peer closed the connection without a valid hello: it has no capacity.
     #[display("no_room")]
     NoCapacity,
-    /// It was silent.
+    /// The peer sent no hello in time.
     #[display("silent")]
     TimedOut,
-    /// It has another version of the configuration in force.
+    /// The peer has another version of the configuration in force.
     #[display("other_configuration")]
     OtherConfiguration {
-        /// That version.
+        /// The version that the peer has in force.
         peer: u64,
     },
 }
 
-/// A connection to a peer that has taken one of this router's callers.
+/// A connection to a peer that has accepted a caller of this router.
 pub struct PeerConnection(TcpStream);
 
-/// Asks a peer to take a connection, which it must serve by version `version` of the configuration.
+/// Connects to a peer and waits for its hello, which must name version `version` of the
+/// configuration.
 ///
 /// # Errors
-/// If it does not.
+/// If the peer is unreachable, accepts no connection in time, or has another version in force.
 pub async fn connect(
     runtime: Runtime,
     peer: SocketAddr,
     version: u64,
 ) -> Result<PeerConnection, OffloadError> {
-    let greeted = async {
+    let accepted = async {
         let mut stream = TcpStream::connect(peer).await.map_err(OffloadError::Unreachable)?;
-        // A stream that refuses the option still works.
+        // The connection works without TCP_NODELAY, too.
         let _ = stream.set_nodelay(true);
-        let mut greeting = [0; HELLO_LENGTH];
-        stream.read_exact(&mut greeting).await.map_err(|_| OffloadError::NoCapacity)?;
-        // A change reaches routers up to a second apart. Without this callers of one address were answered by a newer version and
-        // 0.29 s later by an older one, as 85 processes with changes in series showed.
-        match greeted_version(greeting) {
+        let mut hello = [0; HELLO_LENGTH];
+        stream.read_exact(&mut hello).await.map_err(|_| OffloadError::NoCapacity)?;
+        // A change reaches routers up to a second apart. Without this check, callers of one address
+        // could be served by a newer version and then by an older one.
+        match hello_version(hello) {
             Some(peer) if peer == version => Ok(PeerConnection(stream)),
             Some(peer) => Err(OffloadError::OtherConfiguration { peer }),
             None => Err(OffloadError::NoCapacity),
         }
     };
-    runtime.within(GREETING_LIMIT, greeted).await.unwrap_or(Err(OffloadError::TimedOut))
+    runtime.within(HELLO_TIMEOUT, accepted).await.unwrap_or(Err(OffloadError::TimedOut))
 }
 
-/// What the router that hands a connection on knows of its requests.
+/// What the forwarding router knows about the requests of a forwarded connection.
 pub trait ForwardedConnection {
-    /// Whether the configuration that the peer serves them by is still in force here.
+    /// Returns whether the configuration that the peer serves them by is still in force here.
     fn is_current(&self) -> bool;
 
-    /// Time within which the answer to a request must have begun to come; `start` is how its bytes begin.
+    /// Returns the time within which the answer to a request must begin; `start` is the first bytes
+    /// of the request.
     fn answer_timeout(&self, start: &[u8]) -> Duration;
 }
 
 impl PeerConnection {
-    /// Copies both ways until either side closes. Answers are copied at `interval` after their beginning.
+    /// Copies both ways until either side closes or an answer is overdue. After the first reads,
+    /// answers are copied at `interval`.
     pub async fn copy(
         self,
         runtime: Runtime,
         caller: TcpStream,
         interval: Duration,
-        handed_on: Rc<dyn ForwardedConnection>,
+        forwarded: Rc<dyn ForwardedConnection>,
     ) -> CopyOutcome {
-        // A stream that refuses the option still works.
+        // The connection works without TCP_NODELAY, too.
         let _ = caller.set_nodelay(true);
-        // A task of its own: polled together, each piece of an answer would cost a vain read of the caller's side. With
-        // one shared buffer and fewer prompt reads this raised what a router of 0.12 core hands on from 430 to 820
-        // connections a second, counted by the router.
+        // A separate task: polled together, each chunk of an answer would cost a futile read of the
+        // caller's side.
         let progress = Progress::default();
-        let requests = copy_requests(
+        let copying = copy_requests(
             runtime,
             caller.clone(),
             self.0.clone(),
             progress.clone(),
-            handed_on.clone(),
+            forwarded.clone(),
         );
-        let requests = runtime.spawn(requests);
+        let requests = runtime.spawn(copying);
         let answers = async {
             match copy_answers(runtime, self.0, caller.clone(), interval, &progress).await {
                 Ok(()) | Err(BrokenSide::Peer) => Some(PeerFailure::Disconnected),
                 Err(BrokenSide::Caller) => None,
             }
         };
-        // A peer that stands still neither answers nor closes: callers got no answer until it went on, 0.38 s after the time-out
-        // of a route of 1 s on 85 processes, and for as long as it stood still where that was longer.
-        let silence = async {
-            watch_silence(runtime, &progress, &*handed_on).await;
+        // A stalled peer neither answers nor closes the connection.
+        let overdue = async {
+            wait_until_overdue(runtime, &progress, &*forwarded).await;
             Some(PeerFailure::TimedOut)
         };
-        let loss = answers.or(silence).await;
+        let failure = answers.or(overdue).await;
         drop(requests);
-        // Without a word each caller would see its connection close. With four requests lost so at one moment a router that is
-        // well counts as one that drops requests.
-        match loss.filter(|_| progress.is_answer_due()) {
-            Some(failure) => {
-                CopyOutcome::Unanswered { caller, failure, request_start: progress.0.start.take() }
-            }
+        // The caller gets an answer from this router; a connection that just closes would look like
+        // a failure of this router.
+        match failure.filter(|_| progress.is_answer_pending()) {
+            Some(failure) => CopyOutcome::Unanswered {
+                caller,
+                failure,
+                request_start: progress.0.request_start.take(),
+            },
             None => CopyOutcome::Ended,
         }
     }
 }
 
-/// Ends once an answer has not begun to come within its time.
-async fn watch_silence(runtime: Runtime, progress: &Progress, handed_on: &dyn ForwardedConnection) {
+/// Returns once an answer has not begun within its timeout.
+async fn wait_until_overdue(
+    runtime: Runtime,
+    progress: &Progress,
+    forwarded: &dyn ForwardedConnection,
+) {
     loop {
-        runtime.sleep(SILENCE_PERIOD).await;
-        while let Some(asked) = progress.asked() {
-            let due = asked + handed_on.answer_timeout(&progress.0.start.borrow());
+        runtime.sleep(OVERDUE_CHECK_INTERVAL).await;
+        while let Some(since) = progress.pending_since() {
+            let due = since + forwarded.answer_timeout(&progress.0.request_start.borrow());
             let now = runtime.now();
             if now >= due {
                 return;
             }
-            runtime.sleep(SILENCE_PERIOD.min(due.since(now))).await;
+            runtime.sleep(OVERDUE_CHECK_INTERVAL.min(due.since(now))).await;
         }
     }
 }
 
-/// How the copying of a connection ended.
+/// The outcome of copying a connection.
 #[derive(Debug)]
 pub enum CopyOutcome {
-    /// By either side, and no answer was due, or it had begun.
+    /// Either side closed, and no answer was pending or it had begun.
     Ended,
-    /// The peer gave no byte of an answer to a request, and the caller waits.
+    /// The peer sent no byte of an answer to a request, and the caller is waiting.
     Unanswered {
-        /// The caller.
+        /// The connection of the caller.
         caller: TcpStream,
-        /// Why there was none.
+        /// The reason why there was no answer.
         failure: PeerFailure,
-        /// How the bytes of the request begin.
+        /// The first bytes of the request.
         request_start: Vec<u8>,
     },
 }
 
-/// Why a peer gave no answer.
+/// The reason why a peer sent no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum PeerFailure {
-    /// Its connection ended.
+    /// The connection to the peer closed.
     #[display("gone")]
     Disconnected,
-    /// It was silent for as long as the request may take.
+    /// The peer sent nothing for as long as the request may take.
     #[display("silent")]
     TimedOut,
 }
 
-/// How far a connection that is copied unread has come.
+/// Tracks the requests and answers of a copied connection.
 #[derive(Debug, Clone, Default)]
-struct Progress(Rc<ProgressCells>);
+struct Progress(Rc<ProgressState>);
 
 #[derive(Debug, Default)]
-struct ProgressCells {
-    /// When the first bytes of a request were copied of whose answer no byte has come.
-    asked: Cell<Option<Timestamp>>,
-    /// How the bytes of the last request begin.
-    start: RefCell<Vec<u8>>,
-    /// The last answer ends the connection: what the caller sends after it is not read.
-    ends: Cell<bool>,
+struct ProgressState {
+    /// When the first bytes of a request were copied whose answer has not begun.
+    pending_since: Cell<Option<Timestamp>>,
+    /// The first bytes of the last request.
+    request_start: RefCell<Vec<u8>>,
+    /// The last answer closes the connection: the peer reads nothing that the caller sends after
+    /// it.
+    closes_connection: Cell<bool>,
 }
 
-/// The header of an answer that ends its connection, as routers write it.
-const ENDS_CONNECTION: &[u8] = b"\r\nconnection: close\r\n";
+/// The header of an answer that closes its connection, as routers write it.
+const CONNECTION_CLOSE: &[u8] = b"\r\nconnection: close\r\n";
 
 impl Progress {
-    fn asked(&self) -> Option<Timestamp> {
-        self.0.asked.get()
+    fn pending_since(&self) -> Option<Timestamp> {
+        self.0.pending_since.get()
     }
 
     fn on_request(&self, now: Timestamp, bytes: &[u8]) {
-        if self.asked().is_none() {
-            self.0.asked.set(Some(now));
-            let mut start = self.0.start.borrow_mut();
+        if self.pending_since().is_none() {
+            self.0.pending_since.set(Some(now));
+            let mut start = self.0.request_start.borrow_mut();
             start.clear();
-            start.extend_from_slice(&bytes[..bytes.len().min(START_KEPT)]);
+            start.extend_from_slice(&bytes[..bytes.len().min(MAX_REQUEST_START)]);
         }
     }
 
     fn on_answer(&self, bytes: &[u8]) {
-        if self.0.asked.take().is_some() {
-            let mut windows = bytes.windows(ENDS_CONNECTION.len());
-            self.0.ends.set(windows.any(|window| window == ENDS_CONNECTION));
+        if self.0.pending_since.take().is_some() {
+            let mut windows = bytes.windows(CONNECTION_CLOSE.len());
+            self.0.closes_connection.set(windows.any(|window| window == CONNECTION_CLOSE));
         }
     }
 
     fn on_caller_closed(&self) {
-        self.0.asked.set(None);
+        self.0.pending_since.set(None);
     }
 
-    fn is_answer_due(&self) -> bool {
-        self.asked().is_some() && !self.0.ends.get()
+    fn is_answer_pending(&self) -> bool {
+        self.pending_since().is_some() && !self.0.closes_connection.get()
     }
 }
 
-/// Which side of a connection broke while answers were copied.
+/// The side of a connection that failed while answers were copied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BrokenSide {
     Peer,
     Caller,
 }
 
-/// Copies requests until the caller closes, or a further one comes when another configuration is in force; then the peer learns of
-/// it. That request stays unread.
+/// Copies requests until the caller closes, or until another configuration is in force and no
+/// answer is pending; further requests stay unread. Then closes the connection to the peer.
 async fn copy_requests(
     runtime: Runtime,
     mut caller: TcpStream,
     mut peer: TcpStream,
     progress: Progress,
-    handed_on: Rc<dyn ForwardedConnection>,
+    forwarded: Rc<dyn ForwardedConnection>,
 ) {
-    let mut copied = Ok(Requests::GoOn);
-    while let Ok(Requests::GoOn) = copied {
-        copied = copy_requests_once(runtime, &mut caller, &mut peer, &progress, &*handed_on).await;
+    let mut state = Ok(RequestCopyState::Continue);
+    while let Ok(RequestCopyState::Continue) = state {
+        state = copy_requests_once(runtime, &mut caller, &mut peer, &progress, &*forwarded).await;
     }
-    if let Ok(Requests::CallerClosed) = copied {
+    if let Ok(RequestCopyState::CallerClosed) = state {
         progress.on_caller_closed();
     }
-    // A connection that is closed already needs no further close.
+    // The connection may be closed already.
     let _ = peer.shutdown(Shutdown::Both);
 }
 
@@ -283,7 +293,7 @@
     let mut reads = 0;
     while copy_answers_once(&mut peer, &mut caller, progress).await? {
         reads += 1;
-        if reads >= PROMPT_READS {
+        if reads >= IMMEDIATE_READS {
             runtime.sleep(interval).await;
         }
     }
@@ -291,11 +301,12 @@
 }
 
 thread_local! {
-    /// One buffer for all connections: what is read is written at once, so nothing stays in it.
+    /// One buffer for all connections: bytes are written as soon as they are read, so none stay in
+    /// it.
     static BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; BUFFER_SIZE].into_boxed_slice());
 }
 
-/// Copies what there is to read, once there is any. Gives whether there was: none comes after the end.
+/// Waits for bytes to read and copies them. Returns false at the end of the stream.
 async fn copy_answers_once(
     peer: &mut TcpStream,
     caller: &mut TcpStream,
@@ -318,30 +329,31 @@
     Ok(length > 0)
 }
 
-/// What follows the bytes of a caller that were copied last.
+/// The state after a step of copying requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Requests {
-    /// More of them.
-    GoOn,
-    /// None: the caller has closed.
+enum RequestCopyState {
+    /// More bytes may follow.
+    Continue,
+    /// The caller has closed its connection.
     CallerClosed,
-    /// None is copied: another configuration is in force.
-    Superseded,
+    /// Another configuration is in force, so no further request is copied.
+    ConfigurationChanged,
 }
 
-/// The same for requests. A caller that has closed by the time its request is read wants no answer, so its request
-/// goes nowhere: a late router would send on requests of callers that left long ago.
+/// Waits for bytes of a request and copies them. If the caller has closed by the time its request
+/// is read, nothing is copied: an overloaded router would forward requests of callers that left
+/// long ago.
 async fn copy_requests_once(
     runtime: Runtime,
     caller: &mut TcpStream,
     peer: &mut TcpStream,
     progress: &Progress,
-    handed_on: &dyn ForwardedConnection,
-) -> std::io::Result<Requests> {
+    forwarded: &dyn ForwardedConnection,
+) -> std::io::Result<RequestCopyState> {
     let (next, unwritten) = poll_fn(|context| {
-        // Whatever comes while no answer is due begins a request.
-        if progress.asked().is_none() && !handed_on.is_current() {
-            return Poll::Ready(Ok((Requests::Superseded, Vec::new())));
+        // Bytes that come while no answer is pending begin a request.
+        if progress.pending_since().is_none() && !forwarded.is_current() {
+            return Poll::Ready(Ok((RequestCopyState::ConfigurationChanged, Vec::new())));
         }
         BUFFER.with_borrow_mut(|buffer| {
             let mut length = ready!(Pin::new(&mut *caller).poll_read(context, buffer))?;
@@ -353,11 +365,14 @@
                 }
             }
             if length == 0 {
-                return Poll::Ready(std::io::Result::Ok((Requests::CallerClosed, Vec::new())));
+                return Poll::Ready(std::io::Result::Ok((
+                    RequestCopyState::CallerClosed,
+                    Vec::new(),
+                )));
             }
             progress.on_request(runtime.now(), &buffer[..length]);
             let unwritten = write_some(peer, context, &buffer[..length])?;
-            Poll::Ready(Ok((Requests::GoOn, unwritten)))
+            Poll::Ready(Ok((RequestCopyState::Continue, unwritten)))
         })
     })
     .await?;
@@ -365,7 +380,7 @@
     Ok(next)
 }
 
-/// Writes what the connection takes at once and gives the rest.
+/// Writes what the connection accepts without blocking and returns the rest.
 fn write_some(
     to: &mut TcpStream,
     context: &mut Context<'_>,
--- a/crates/router/src/operations.rs
+++ b/crates/router/src/operations.rs
@@ -1,4 +1,4 @@
-//! What balancers, operators and peers ask of a router: readiness, metrics, snapshots.
+//! The endpoints for load balancers, operators and peers: readiness, metrics and snapshots.
 
 use crate::events;
 use crate::listener::{LocalBody, full, full_with_guard};
@@ -11,16 +11,17 @@
 use prometheus_client::registry::Registry;
 use std::rc::Rc;
 
-/// Where metrics are served.
+/// Path of the metrics endpoint.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Answers on the readiness address, whatever the path.
+/// Answers a request to the readiness address: 200 if the router takes work, else 503. The path is
+/// ignored.
 pub fn readiness(router: &Router) -> Response<LocalBody> {
     let status = if router.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     plain(status, Bytes::new())
 }
 
-/// Answers on the operations address.
+/// Answers a request to the operations address.
 pub fn operations(
     router: &Rc<Router>,
     registry: &Registry,
@@ -37,9 +38,9 @@
     let known = known_versions(query);
     let mut encoded = router.snapshots.borrow_mut();
     match encoded.get(&router.catalogue.borrow(), known) {
-        Ok(body) => match router.handing_out.begin(router.now(), body.len()) {
-            Some(handing) => Response::new(full_with_guard(handing, body)),
-            // Whoever asks goes to another router, or comes back soon.
+        Ok(body) => match router.snapshot_transfers.try_acquire(router.now(), body.len()) {
+            Some(permit) => Response::new(full_with_guard(permit, body)),
+            // The peer asks another router or retries soon.
             None => plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
         },
         Err(error) => {
--- a/crates/router/src/overflow.rs
+++ b/crates/router/src/overflow.rs
@@ -1,51 +1,51 @@
-//! What becomes of new connections that a router does not simply serve: the account behind its log line and metrics.
+//! Counts the new connections that a router does not serve normally, for its log and metrics.
 //!
-//! Callers on connections that are closed unread are denied service before their tenant is known, so no tenant's rate
-//! counts them. This account is the only trace that they leave.
+//! Connections that are closed unread are rejected before their tenant is known, so no tenant's
+//! rate includes them. These counts are the only trace that they leave.
 
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// Time between two log lines while there is anything to tell.
-const LINE_PERIOD: Duration = Duration::from_secs(1);
+/// Minimum interval between two log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What became of a connection.
+/// The outcome of a connection that was not served normally.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OverflowOutcome {
-    /// A peer took it.
+    /// A peer accepted it.
     Forwarded,
-    /// A peer took it and gave no answer to a request.
+    /// A peer accepted it and did not answer a request.
     Unanswered,
-    /// No peer took it, and it was served here.
+    /// No peer accepted it, and it was served locally.
     ServedLocally,
-    /// No peer took it, and it was closed unread.
+    /// No peer accepted it, and it was closed unread.
     Rejected,
 }
 
-/// Connections by what became of them.
+/// Numbers of connections by outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct OverflowCounts {
-    /// Those that a peer took.
+    /// Accepted by a peer.
     pub forwarded: u32,
-    /// Those that a peer took and that ended without an answer to a request.
+    /// Accepted by a peer, which did not answer a request.
     pub unanswered: u32,
-    /// Those that no peer took and that were served here.
+    /// Accepted by no peer and served locally.
     pub served_locally: u32,
-    /// Those that no peer took and that were closed unread.
+    /// Accepted by no peer and closed unread.
     pub rejected: u32,
-    /// Those that were closed unread since as many as may be open were open.
+    /// Closed unread because the maximum number of connections was open.
     pub full: u32,
 }
 
-/// The account of one router.
+/// Collects the counts of a router between two log lines.
 #[derive(Debug, Default)]
 pub struct OverflowRecorder {
     counts: OverflowCounts,
-    told: Timestamp,
+    last_logged: Timestamp,
 }
 
 impl OverflowRecorder {
-    /// A connection was not simply served.
+    /// Counts a connection.
     pub fn record(&mut self, outcome: OverflowOutcome) {
         let count = match outcome {
             OverflowOutcome::Forwarded => &mut self.counts.forwarded,
@@ -56,17 +56,18 @@
         *count += 1;
     }
 
-    /// Some connections were closed unread since as many as may be open were open.
+    /// Counts connections closed unread because the maximum number of connections was open.
     pub fn record_full(&mut self, connections: u32) {
         self.counts.full += connections;
     }
 
-    /// The counts since the last line, if one is due: there is something to tell and a second has passed.
+    /// Returns the counts since the last line and resets them, if a line is due: a count is above
+    /// zero and the interval has passed.
     pub fn take_due(&mut self, now: Timestamp) -> Option<OverflowCounts> {
-        if self.counts == OverflowCounts::default() || now.since(self.told) < LINE_PERIOD {
+        if self.counts == OverflowCounts::default() || now.since(self.last_logged) < LOG_INTERVAL {
             return None;
         }
-        self.told = now;
+        self.last_logged = now;
         Some(std::mem::take(&mut self.counts))
     }
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to and from peers, by datagrams, and snapshots fetched from a peer that knows more.
+//! Messages to and from peers over UDP, and snapshots fetched from peers that have newer versions.
 
 use crate::back_end_notices;
 use crate::catalogue::Snapshot;
@@ -6,7 +6,7 @@
 use crate::events;
 use crate::quarantine;
 use crate::router::Router;
-use crate::snapshot_serving::LONGEST_HANDING;
+use crate::snapshot_serving::TRANSFER_TIMEOUT;
 use crate::snapshots::snapshot_target;
 use crate::update_signal::Origin;
 use bytes::Bytes;
@@ -19,18 +19,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest datagram, in bytes.
-const LARGEST_DATAGRAM: usize = 60 << 10;
-/// Time between two looks for newer versions at peers.
-const NEWER_PERIOD: Duration = Duration::from_millis(80);
-/// Longest pause after a peer that was handing out as many lists as it may; a list takes it some 50 ms.
-const BUSY_PAUSE: Duration = Duration::from_millis(40);
+/// Maximum size of a datagram, in bytes.
+const MAX_DATAGRAM_SIZE: usize = 60 << 10;
+/// Interval between checks for newer versions at peers.
+const FETCH_INTERVAL: Duration = Duration::from_millis(80);
+/// Longest backoff after a peer that already serves as many snapshots as it may.
+const MAX_BUSY_BACKOFF: Duration = Duration::from_millis(40);
 
-/// Tells other routers of this one for as long as it runs.
+/// Sends this router's state to other routers for as long as it runs.
 pub async fn send_rounds(router: Rc<Router>, socket: Rc<UdpSocket>) {
     loop {
         send_round(&router, &socket).await;
-        // A round comes early where something newer is in force.
+        // A round is sent early when an update comes into force.
         let period = router.runtime.until_aligned_tick(ROUND_PERIOD);
         let _ = router.runtime.within(period, router.update_signal.notified()).await;
     }
@@ -41,9 +41,9 @@
     let phase = router.phase();
     let messages = {
         let mut dispatcher = router.dispatcher.borrow_mut();
-        let earlier = dispatcher.role();
+        let previous_role = dispatcher.role();
         let messages = dispatcher.next_round(router.now(), phase, &seeds);
-        if dispatcher.role() != earlier {
+        if dispatcher.role() != previous_role {
             events::role_changed(dispatcher.role(), dispatcher.routers());
         }
         messages
@@ -56,8 +56,8 @@
     }
 }
 
-/// Sends a message. A datagram may be lost at any time, and the next one says all again, so failed sends are
-/// only logged, one line for all of a message.
+/// Sends a message. Datagrams may be lost at any time and the next one repeats their content, so
+/// failures are only logged, with one line per message.
 async fn send(socket: &UdpSocket, message: &PeerMessage, targets: &[SocketAddr]) {
     let datagram = match rmp_serde::to_vec(message) {
         Ok(datagram) => datagram,
@@ -76,105 +76,107 @@
     }
 }
 
-/// Digest addresses of the other seeds: all routers listen for digests on the same port.
+/// Returns the digest addresses of the other seeds: all routers listen for digests on the same
+/// port.
 fn seeds(router: &Router) -> Vec<SocketAddr> {
     let own = router.settings.digests;
     let seeds = router.settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), own.port()));
     seeds.filter(|seed| *seed != own).collect()
 }
 
-/// Takes messages of other routers for as long as the router runs.
+/// Receives messages from other routers for as long as the router runs.
 pub async fn receive_messages(router: Rc<Router>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0_u8; LARGEST_DATAGRAM];
+    let mut buffer = vec![0_u8; MAX_DATAGRAM_SIZE];
     loop {
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
             router.runtime.sleep(ROUND_PERIOD).await;
             continue;
         };
-        // A datagram that is no message is not from a peer of ours.
+        // A datagram that cannot be decoded does not come from a peer.
         if let Ok(message) = rmp_serde::from_slice::<PeerMessage>(&buffer[..length]) {
-            router.note_heard();
-            take_message(&router, &socket, sender, message).await;
+            router.record_contact();
+            handle_message(&router, &socket, sender, message).await;
         }
     }
 }
 
-/// Takes a message and greets a sender that was not known.
-async fn take_message(
+/// Handles a message. Answers a new peer with a hello and what else it must know.
+async fn handle_message(
     router: &Rc<Router>,
     socket: &UdpSocket,
     sender: SocketAddr,
     message: PeerMessage,
 ) {
     if let PeerMessage::Ends(reports) = &message {
-        return quarantine::take_reports(router, reports, sender);
+        return quarantine::apply_reports(router, reports, sender);
     }
-    if let PeerMessage::Draining(told) = &message {
-        return back_end_notices::apply_reported(router, told, sender);
+    if let PeerMessage::Draining(back_ends) = &message {
+        return back_end_notices::apply_reported(router, back_ends, sender);
     }
-    let passed_on = router.dispatcher.borrow().relayed_message(&message);
-    if let Some(Outgoing { message, targets }) = passed_on {
+    let relayed = router.dispatcher.borrow().relayed_message(&message);
+    if let Some(Outgoing { message, targets }) = relayed {
         send(socket, &message, &targets).await;
     }
     let new_peer = router.dispatcher.borrow_mut().on_message(router.now(), message);
     let Some(new_peer) = new_peer else { return };
     events::peer_heard(new_peer.address, router.dispatcher.borrow().routers());
     if new_peer.needs_hello {
-        let greeting = router.dispatcher.borrow_mut().hello(router.phase());
-        send(socket, &PeerMessage::Digest(greeting), &[new_peer.address]).await;
+        let hello = router.dispatcher.borrow_mut().hello(router.phase());
+        send(socket, &PeerMessage::Digest(hello), &[new_peer.address]).await;
     }
     let draining = router.dispatcher.borrow().draining_for_new_peer();
-    for message in quarantine::message_for_newcomer(router).into_iter().chain(draining) {
+    for message in quarantine::message_for_new_peer(router).into_iter().chain(draining) {
         send(socket, &message, &[new_peer.address]).await;
     }
 }
 
-/// What came of asking a peer for its snapshot.
+/// The result of fetching a snapshot from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fetched {
-    /// It came.
-    Taken,
-    /// The peer hands out as many as it may.
+enum FetchResult {
+    /// The snapshot was received and applied.
+    Applied,
+    /// The peer already serves as many snapshots as it may.
     Busy,
-    /// None came.
+    /// No snapshot was received.
     Failed,
 }
 
-/// Fetches what peers know and this router misses, for as long as it runs.
+/// Fetches newer versions from peers for as long as the router runs.
 pub async fn fetch_newer(router: Rc<Router>) {
     let mut is_busy = false;
     loop {
         let pause = if is_busy {
-            BUSY_PAUSE.mul_f64(rand::random())
+            MAX_BUSY_BACKOFF.mul_f64(rand::random())
         } else {
-            router.runtime.until_aligned_tick(NEWER_PERIOD)
+            router.runtime.until_aligned_tick(FETCH_INTERVAL)
         };
         router.runtime.sleep(pause).await;
         is_busy = false;
-        let hears_nobody = router.dispatcher.borrow().routers() == 1;
-        if hears_nobody && !router.catalogue.borrow().is_complete() {
-            ask_seeds(&router).await;
+        let has_no_peers = router.dispatcher.borrow().routers() == 1;
+        if has_no_peers && !router.catalogue.borrow().is_complete() {
+            fetch_from_seeds(&router).await;
         }
         let newer = router.dispatcher.borrow().newer_snapshot_address(router.now(), rand::random());
         if newer.is_none() {
             continue;
         }
         if router.dispatcher.borrow().follows_source(router.now()) {
-            // The own source is usually about to tell the same.
-            router.runtime.sleep(NEWER_PERIOD).await;
+            // The router's own source usually delivers the same update soon.
+            router.runtime.sleep(FETCH_INTERVAL).await;
         }
-        let still = router.dispatcher.borrow().newer_snapshot_address(router.now(), rand::random());
-        let Some(address) = still else { continue };
+        let still_newer = router.dispatcher.borrow().newer_snapshot_address(router.now(), rand::random());
+        let Some(address) = still_newer else { continue };
         match fetch_snapshot(&router, address).await {
-            Fetched::Taken => router.peers_fail.set(false),
-            Fetched::Busy => is_busy = true,
-            Fetched::Failed => router.peers_fail.set(true),
+            FetchResult::Applied => router.peer_fetch_failed.set(false),
+            FetchResult::Busy => is_busy = true,
+            FetchResult::Failed => router.peer_fetch_failed.set(true),
         }
     }
 }
 
-/// Asks the seeds in turn while nothing is known and no peer is heard: the own source may be out of reach.
-async fn ask_seeds(router: &Rc<Router>) {
+/// Fetches snapshots from the seeds one by one until the router's state is complete: its own source
+/// may be unreachable.
+async fn fetch_from_seeds(router: &Rc<Router>) {
     let others = router.settings.seeds.iter().filter(|seed| **seed != router.settings.operations);
     for seed in others {
         if !router.catalogue.borrow().is_complete() {
@@ -183,22 +185,24 @@
     }
 }
 
-/// Fetches a snapshot from one peer.
-async fn fetch_snapshot(router: &Rc<Router>, address: SocketAddr) -> Fetched {
+/// Fetches a snapshot from one peer and applies it.
+async fn fetch_snapshot(router: &Rc<Router>, address: SocketAddr) -> FetchResult {
     let request = Request::builder()
         .uri(snapshot_target(router.catalogue.borrow().versions()))
         .header(HOST, address.to_string())
         .body(Full::<Bytes>::default());
-    let Ok(request) = request else { return Fetched::Failed };
+    let Ok(request) = request else { return FetchResult::Failed };
     let client = LocalClient::new(router.runtime.control(), address);
-    let Ok(reply) = client.call(request, LONGEST_HANDING).await else { return Fetched::Failed };
+    let Ok(reply) = client.call(request, TRANSFER_TIMEOUT).await else {
+        return FetchResult::Failed;
+    };
     match reply.status {
         StatusCode::OK => {}
-        StatusCode::SERVICE_UNAVAILABLE => return Fetched::Busy,
-        _ => return Fetched::Failed,
+        StatusCode::SERVICE_UNAVAILABLE => return FetchResult::Busy,
+        _ => return FetchResult::Failed,
     }
     let Ok(snapshot) = rmp_serde::from_slice::<Snapshot>(&reply.body) else {
-        return Fetched::Failed;
+        return FetchResult::Failed;
     };
     if let Some(configuration) = snapshot.configuration {
         router.offer_configuration(configuration, Origin::Peer(address));
@@ -212,5 +216,5 @@
     if let Some(rollouts) = snapshot.rollouts {
         router.offer_rollouts(rollouts, Origin::Peer(address));
     }
-    Fetched::Taken
+    FetchResult::Applied
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,7 +1,8 @@
-//! Keeps requests from back ends under which others have ended, together with the other routers.
+//! Quarantines requests that terminate the back ends which run them, together with the other
+//! routers.
 //!
-//! Without this a request that ended each engine which ran it was sent on at each coming: 23 runs of 20 arrivals at one router,
-//! 19 of 24 at four (`tests/fatal_requests.rs`, which bounds both by six).
+//! Without this, such a request would be sent to another back end each time that it arrives
+//! (`tests/fatal_requests.rs`).
 
 use crate::call::Call;
 use crate::events;
@@ -15,22 +16,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between two looks at whether it is known by now what became of a back end.
-const VERDICT_PERIOD: Duration = Duration::from_millis(16);
+/// Interval between checks whether it is known why a connection broke.
+const STATUS_CHECK_INTERVAL: Duration = Duration::from_millis(16);
 
-/// What is known of a request. Where one more end would quarantine it and it isn't known yet whether a back end ended under it a
-/// moment ago, that is waited for, a tenth of a second as a rule.
+/// Returns the quarantine status of a request. If one more termination would quarantine it and it
+/// is not yet known whether a back end just terminated while running it, waits until it is, usually
+/// about 0.1 s.
 pub async fn status(router: &Router, call: &Call) -> QuarantineStatus {
-    if !has_any(router) {
+    if !has_entries(router) {
         return QuarantineStatus::Clear;
     }
-    while is_verdict_awaited(router, call.fingerprint()) {
-        router.runtime.sleep(VERDICT_PERIOD).await;
+    while is_status_pending(router, call.fingerprint()) {
+        router.runtime.sleep(STATUS_CHECK_INTERVAL).await;
     }
     current_status(router, call)
 }
 
-/// Lets a quarantined request through to see whether back ends bear it, if that is this router's turn.
+/// Lets a quarantined request through as a probe if one is due and it is this router's turn.
+/// Returns whether it does.
 pub fn take_probe(router: &Router, call: &Call) -> bool {
     let request = call.fingerprint();
     let turn = router.dispatcher.borrow().probe_slot(request);
@@ -41,34 +44,36 @@
     is_probe
 }
 
-/// Whether anything is known that could speak against a request; as a rule there is nothing, and no fingerprint is taken.
-fn has_any(router: &Router) -> bool {
+/// Returns whether any request may be suspect or quarantined. Usually none is, which saves
+/// computing fingerprints.
+fn has_entries(router: &Router) -> bool {
     !router.quarantine.borrow().is_empty() || !router.broken.is_empty()
 }
 
-fn is_verdict_awaited(router: &Router, request: RequestFingerprint) -> bool {
-    let awaited = router.broken.unresolved_for(request);
+fn is_status_pending(router: &Router, request: RequestFingerprint) -> bool {
+    let unresolved = router.broken.unresolved_for(request);
     let ends = router.quarantine.borrow().terminations(router.now(), request);
-    awaited > 0 && awaited + ends + 1 >= router.settings.quarantine.ends
+    unresolved > 0 && unresolved + ends + 1 >= router.settings.quarantine.ends
 }
 
-/// What is known of a request by now. One whose connection just broke is a suspect until it is known why.
+/// Returns the status of a request without waiting. A request whose connection just broke is
+/// suspect until it is known why.
 fn current_status(router: &Router, call: &Call) -> QuarantineStatus {
-    if !has_any(router) {
+    if !has_entries(router) {
         return QuarantineStatus::Clear;
     }
     let request = call.fingerprint();
     let known = router.quarantine.borrow().status(router.now(), request);
-    let is_awaited = router.broken.unresolved_for(request) > 0;
-    if known == QuarantineStatus::Clear && is_awaited { QuarantineStatus::Suspect } else { known }
+    let is_unresolved = router.broken.unresolved_for(request) > 0;
+    if known == QuarantineStatus::Clear && is_unresolved { QuarantineStatus::Suspect } else { known }
 }
 
-/// Whether back ends ended under a request, or may have.
+/// Returns whether back ends terminated, or may have, while they ran a request.
 pub fn is_suspect(router: &Router, call: &Call) -> bool {
     current_status(router, call) == QuarantineStatus::Suspect
 }
 
-/// When the caller of a request may come back, if it is quarantined.
+/// Returns the time after which the caller may retry; `None` unless the request is quarantined.
 pub fn retry_after(router: &Router, call: &Call) -> Option<Duration> {
     match current_status(router, call) {
         QuarantineStatus::Quarantined { retry_after, .. } => Some(retry_after),
@@ -76,14 +81,15 @@
     }
 }
 
-/// A request was served to its end.
+/// Clears the quarantine state of a request that was served completely.
 pub fn on_served(router: &Router, call: &Call) {
     if !router.quarantine.borrow().is_empty() {
         router.quarantine.borrow_mut().clear(call.fingerprint());
     }
 }
 
-/// A back end ended while requests of this router were under way there. The others are told at once.
+/// Records that a back end terminated while it ran requests of this router, and reports it to the
+/// other routers at once.
 pub fn on_back_end_ended(
     router: &Router,
     back_end: &BackEnd,
@@ -101,12 +107,12 @@
             .filter_map(|request| quarantine.on_termination(now, key, *request))
             .collect()
     };
-    note_quarantined(router, &quarantined, "own");
+    record_quarantined(router, &quarantined, "own");
     router.update_signal.notify();
 }
 
-/// Another router reports ends.
-pub fn take_reports(router: &Router, reports: &[TerminationReport], sender: SocketAddr) {
+/// Applies reports of terminated back ends from another router.
+pub fn apply_reports(router: &Router, reports: &[TerminationReport], sender: SocketAddr) {
     let relaying = router.dispatcher.borrow().relaying();
     let now = router.now();
     for report in reports {
@@ -114,17 +120,17 @@
     }
     let quarantined = router.quarantine.borrow_mut().on_reports(now, reports, relaying);
     if !quarantined.is_empty() {
-        note_quarantined(router, &quarantined, &sender.to_string());
+        record_quarantined(router, &quarantined, &sender.to_string());
     }
 }
 
-fn note_quarantined(router: &Router, quarantined: &[QuarantinedRequest], source: &str) {
+fn record_quarantined(router: &Router, quarantined: &[QuarantinedRequest], source: &str) {
     quarantined.iter().for_each(|one| events::request_quarantined(one, source));
     let all = router.quarantine.borrow().quarantined(router.now());
     router.metrics.set_quarantined(all.len());
 }
 
-/// What this router tells others of ends in one round; as a rule nothing.
+/// Returns the messages about terminated back ends for one round; usually none.
 pub fn next_messages(router: &Rc<Router>) -> Vec<Outgoing> {
     let now = router.now();
     let mut quarantine = router.quarantine.borrow_mut();
@@ -143,34 +149,35 @@
     messages
 }
 
-/// All that a router which just came must know: the requests that are quarantined.
-pub fn message_for_newcomer(router: &Router) -> Option<PeerMessage> {
+/// Returns the message that reports all quarantined requests to a new peer; `None` if there are
+/// none.
+pub fn message_for_new_peer(router: &Router) -> Option<PeerMessage> {
     let reports = router.quarantine.borrow().reports_for_new_peer(router.now());
     (!reports.is_empty()).then_some(PeerMessage::Ends(reports))
 }
 
-/// The requests that are quarantined.
+/// Returns the quarantined requests.
 pub fn quarantined(router: &Router) -> Vec<QuarantinedRequest> {
     router.quarantine.borrow().quarantined(router.now())
 }
 
-/// The archive holds a request as quarantined. The others are told at once.
-pub fn take_archived(router: &Router, entry: &QuarantinedRequest) {
+/// Applies an entry of the archive, and reports it to the other routers at once if it is new.
+pub fn apply_archived(router: &Router, entry: &QuarantinedRequest) {
     let now = router.now();
     if router.quarantine.borrow_mut().on_listed(now, entry) {
-        note_quarantined(router, std::slice::from_ref(entry), "archive");
+        record_quarantined(router, std::slice::from_ref(entry), "archive");
         router.update_signal.notify();
     }
 }
 
-/// An operator lifts the quarantine of a request.
+/// Lifts the quarantine of a request whose entry an operator removed.
 pub fn lift(router: &Router, request: RequestFingerprint) {
     events::quarantine_lifted(request);
     router.quarantine.borrow_mut().clear(request);
     router.update_signal.notify();
 }
 
-/// Forgets what no longer counts.
+/// Removes expired entries.
 pub fn expire(router: &Router) {
     let now = router.now();
     let mut quarantine = router.quarantine.borrow_mut();
--- a/crates/router/src/quarantine_archive.rs
+++ b/crates/router/src/quarantine_archive.rs
@@ -1,8 +1,9 @@
-//! Keeps quarantined requests where they outlive all routers.
+//! Keeps quarantined requests in an archive that survives the loss of all routers, which have no
+//! disk.
 //!
-//! Routers have no disk and may all be gone at once. Without an archive a request that had been quarantined ended three more back ends
-//! after each such loss. The few routers that follow the source write what is missing in the archive and read what they miss
-//! themselves; the others hear of it from them. An operator lifts a quarantine by removing its entry.
+//! The few routers that follow the source write missing entries to the archive and read those that
+//! they lack; the other routers learn of them through peer messages. An operator lifts a quarantine
+//! by removing its entry.
 
 use crate::events;
 use crate::quarantine;
@@ -15,23 +16,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time that a call may wait for a change. Nothing hangs on how soon a lifted quarantine is noticed, and each call has a price.
+/// Longest time that a call waits for changes. Lifting a quarantine is not urgent, and each call
+/// has a cost.
 const CHANGES_WAIT: Duration = Duration::from_secs(20);
-/// Time between two looks at whether this router follows the source and whether anything is to be written.
-const PERIOD: Duration = Duration::from_millis(300);
-/// Longest time for which a router leaves it to the others to write an entry first.
-const LONGEST_DEFERENCE: Duration = Duration::from_millis(300);
-/// Time after an entry's end for which it is kept: a router whose time of day is some seconds ahead must not remove what holds for others.
-const REMOVED_AFTER: Duration = Duration::from_secs(60);
-/// Pause after a call that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(900);
+/// Interval between checks whether this router follows the source and has entries to write.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Longest random delay before a write, which gives other routers the chance to write first.
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(300);
+/// Time for which an expired entry is kept: a router whose wall clock is some seconds ahead must
+/// not remove what is still valid for others.
+const REMOVAL_DELAY: Duration = Duration::from_secs(60);
+/// Backoff after a failed call.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(900);
 
 /// All entries of an archive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ArchiveListing {
-    /// The entries that can be read.
+    /// The entries that can be parsed.
     pub entries: Vec<QuarantinedRequest>,
-    /// Where changes go on from.
+    /// Position after which to read changes.
     pub cursor: Revision,
 }
 
@@ -42,53 +45,53 @@
     pub written: Vec<QuarantinedRequest>,
     /// Entries that were removed.
     pub removed: Vec<RequestFingerprint>,
-    /// Where changes go on from.
+    /// Position after which to read changes.
     pub cursor: Revision,
 }
 
-/// The seam to where quarantined requests are kept.
+/// Storage for quarantined requests that survives the routers.
 #[expect(async_fn_in_trait, reason = "a router runs on one thread")]
 pub trait QuarantineArchive {
-    /// Why a call failed.
+    /// Error of a failed call.
     type Error: Display;
 
-    /// All entries.
+    /// Returns all entries.
     async fn list(&self) -> Result<ArchiveListing, Self::Error>;
 
-    /// The changes after `cursor`, waited for up to `wait`; nothing if the archive no longer has them, or was restored
-    /// from an older copy since.
+    /// Waits up to `wait` for changes after `cursor` and returns them; `None` if the archive no
+    /// longer has them or has been restored from an older copy.
     async fn changes(
         &self,
         cursor: Revision,
         wait: Duration,
     ) -> Result<Option<ArchiveChanges>, Self::Error>;
 
-    /// Writes an entry; one that is there stays as it is.
+    /// Writes an entry; an existing one stays unchanged.
     async fn write(&self, entry: &QuarantinedRequest) -> Result<(), Self::Error>;
 
-    /// Removes an entry, if it is there.
+    /// Removes an entry, if it exists.
     async fn remove(&self, request: RequestFingerprint) -> Result<(), Self::Error>;
 }
 
-/// The entries that a router knows of, by the time until which they count; nothing before it has read any list.
-type Known = RefCell<Option<BTreeMap<RequestFingerprint, Timestamp>>>;
+/// The known entries of the archive with their expiry times; `None` before the first listing.
+type KnownEntries = RefCell<Option<BTreeMap<RequestFingerprint, Timestamp>>>;
 
-/// Keeps archive and router the same for as long as the router runs. `reader` and `writer` are two ways to the same archive, so that a
-/// write doesn't wait for a change.
+/// Keeps the archive and the router in sync for as long as the router runs. `reader` and `writer`
+/// access the same archive, so that a write does not wait for a call that waits for changes.
 pub async fn sync_archive<A: QuarantineArchive>(router: Rc<Router>, reader: A, writer: A) {
-    let known = Known::default();
+    let known = KnownEntries::default();
     smol::future::zip(read(&router, &reader, &known), write(&router, &writer, &known)).await;
 }
 
-async fn read<A: QuarantineArchive>(router: &Router, archive: &A, known: &Known) {
+async fn read<A: QuarantineArchive>(router: &Router, archive: &A, known: &KnownEntries) {
     let mut cursor = None;
     let mut is_available = true;
     loop {
         if !router.is_following_source() {
-            // What changes until it follows the source again is read then.
+            // A full listing replaces the cursor once the router follows the source again.
             cursor = None;
             known.replace(None);
-            router.runtime.sleep(router.runtime.until_aligned_tick(PERIOD)).await;
+            router.runtime.sleep(router.runtime.until_aligned_tick(CHECK_INTERVAL)).await;
             continue;
         }
         let result = read_once(router, archive, known, cursor).await;
@@ -100,31 +103,31 @@
         match result {
             Ok(next) => cursor = next,
             Err(_) => {
-                router.runtime.sleep(FAILURE_PAUSE.mul_f64(0.5 + rand::random::<f64>())).await
+                router.runtime.sleep(FAILURE_BACKOFF.mul_f64(0.5 + rand::random::<f64>())).await
             }
         }
     }
 }
 
-/// One call: the whole list where there is no cursor, else the next changes. Gives the cursor to go on from.
+/// Reads the full list if there is no cursor, else the next changes. Returns the next cursor.
 async fn read_once<A: QuarantineArchive>(
     router: &Router,
     archive: &A,
-    known: &Known,
+    known: &KnownEntries,
     cursor: Option<Revision>,
 ) -> Result<Option<Revision>, A::Error> {
     let Some(cursor) = cursor else {
         let listed = archive.list().await?;
         known.replace(Some(BTreeMap::new()));
-        listed.entries.iter().for_each(|entry| take_entry(router, known, entry));
+        listed.entries.iter().for_each(|entry| apply_entry(router, known, entry));
         return Ok(Some(listed.cursor));
     };
     let wait = CHANGES_WAIT.mul_f64(0.75 + 0.25 * rand::random::<f64>());
     let Some(changes) = archive.changes(cursor, wait).await? else { return Ok(None) };
-    changes.written.iter().for_each(|entry| take_entry(router, known, entry));
+    changes.written.iter().for_each(|entry| apply_entry(router, known, entry));
     for request in changes.removed {
         let entry = known.borrow_mut().as_mut().and_then(|known| known.remove(&request));
-        // An entry whose time was over is removed by routers.
+        // Routers remove expired entries; only an operator removes one that is still valid.
         if entry.is_some_and(|until| until > router.now()) {
             quarantine::lift(router, request);
         }
@@ -132,35 +135,35 @@
     Ok(Some(changes.cursor.max(cursor)))
 }
 
-fn take_entry(router: &Router, known: &Known, entry: &QuarantinedRequest) {
+fn apply_entry(router: &Router, known: &KnownEntries, entry: &QuarantinedRequest) {
     let until = router.now() + entry.left;
     if let Some(known) = known.borrow_mut().as_mut() {
         known.insert(entry.request, until);
     }
-    quarantine::take_archived(router, entry);
+    quarantine::apply_archived(router, entry);
 }
 
-async fn write<A: QuarantineArchive>(router: &Router, archive: &A, known: &Known) {
+async fn write<A: QuarantineArchive>(router: &Router, archive: &A, known: &KnownEntries) {
     loop {
-        router.runtime.sleep(router.runtime.until_aligned_tick(PERIOD)).await;
+        router.runtime.sleep(router.runtime.until_aligned_tick(CHECK_INTERVAL)).await;
         if !router.is_following_source() {
             continue;
         }
         if has_changes(router, known) {
-            router.runtime.sleep(LONGEST_DEFERENCE.mul_f64(rand::random())).await;
-            if write_missing(router, archive, known).await.is_err() {
-                router.runtime.sleep(FAILURE_PAUSE).await;
+            router.runtime.sleep(MAX_WRITE_DELAY.mul_f64(rand::random())).await;
+            if write_changes(router, archive, known).await.is_err() {
+                router.runtime.sleep(FAILURE_BACKOFF).await;
             }
         }
     }
 }
 
-fn has_changes(router: &Router, known: &Known) -> bool {
-    !missing(router, known).is_empty() || !superfluous(router, known).is_empty()
+fn has_changes(router: &Router, known: &KnownEntries) -> bool {
+    !missing(router, known).is_empty() || !obsolete(router, known).is_empty()
 }
 
-/// Quarantined requests that the archive doesn't hold.
-fn missing(router: &Router, known: &Known) -> Vec<QuarantinedRequest> {
+/// Returns the quarantined requests that the archive lacks.
+fn missing(router: &Router, known: &KnownEntries) -> Vec<QuarantinedRequest> {
     let known = known.borrow();
     let Some(known) = known.as_ref() else { return Vec::new() };
     let mut quarantined = quarantine::quarantined(router);
@@ -168,25 +171,25 @@
     quarantined
 }
 
-/// Entries of requests whose time is over for a while, or that were cleared.
-fn superfluous(router: &Router, known: &Known) -> Vec<RequestFingerprint> {
+/// Returns the entries that expired a while ago or whose requests were cleared.
+fn obsolete(router: &Router, known: &KnownEntries) -> Vec<RequestFingerprint> {
     let now = router.now();
     let quarantined: BTreeSet<RequestFingerprint> =
         quarantine::quarantined(router).iter().map(|one| one.request).collect();
-    let is_superfluous = |request: &RequestFingerprint, until: Timestamp| {
-        let is_over = until + REMOVED_AFTER <= now;
+    let is_obsolete = |request: &RequestFingerprint, until: Timestamp| {
+        let is_expired = until + REMOVAL_DELAY <= now;
         let is_cleared = until > now && !quarantined.contains(request);
-        is_over || is_cleared
+        is_expired || is_cleared
     };
     let known = known.borrow();
-    let all = known.iter().flatten().filter(|(request, until)| is_superfluous(request, **until));
+    let all = known.iter().flatten().filter(|(request, until)| is_obsolete(request, **until));
     all.map(|(request, _)| *request).collect()
 }
 
-async fn write_missing<A: QuarantineArchive>(
+async fn write_changes<A: QuarantineArchive>(
     router: &Router,
     archive: &A,
-    known: &Known,
+    known: &KnownEntries,
 ) -> Result<(), A::Error> {
     for entry in missing(router, known) {
         archive.write(&entry).await?;
@@ -196,7 +199,7 @@
         }
         events::quarantine_archived(entry.request);
     }
-    for request in superfluous(router, known) {
+    for request in obsolete(router, known) {
         archive.remove(request).await?;
         if let Some(known) = known.borrow_mut().as_mut() {
             known.remove(&request);
--- a/crates/router/src/runtime.rs
+++ b/crates/router/src/runtime.rs
@@ -1,10 +1,9 @@
-//! The router's one thread: tasks on it, and limits on how long they wait.
+//! The runtime of a router: tasks and timers on one thread.
 //!
-//! Limits are kept in one ordered list that is looked through in turns: when the first of them ends, and not more
-//! often than each few milliseconds. A timer of the operating system for each would cost several system calls a
-//! request and a streamed event, where a limit that is a few milliseconds late does no harm. Work that repeats ends its
-//! sleeps on common turns, so that a router with little to do is seldom woken: hundreds of them share a machine room,
-//! and each wake-up costs processor time.
+//! Timers are kept in one ordered queue that is processed in ticks: when the first timer expires,
+//! but at most once every few milliseconds. An operating-system timer for each would cost several
+//! system calls per request and streamed event, and timers may be a few milliseconds late. Periodic
+//! tasks sleep until aligned ticks, so that an idle router is rarely woken.
 
 use crate::clock::Clock;
 use mastbay_types::Timestamp;
@@ -19,76 +18,76 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// Least time between two turns.
-pub(crate) const TURN_PERIOD: Duration = Duration::from_millis(8);
-/// Time between two common turns, on which work that repeats ends its sleeps.
-pub(crate) const COMMON_TURN: Duration = Duration::from_millis(20);
-/// Limits that end this soon after a turn end with it.
-const SLACK: Duration = Duration::from_millis(4);
+/// Minimum interval between two ticks.
+pub(crate) const MIN_TICK_INTERVAL: Duration = Duration::from_millis(8);
+/// Interval between aligned ticks, on which periodic tasks wake up together.
+pub(crate) const ALIGNED_TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timers that expire this soon after a tick fire with it.
+const TIMER_SLACK: Duration = Duration::from_millis(4);
 
-/// Starts tasks on the router's one thread and bounds their waits.
+/// Handle to spawn tasks on the router's thread and to set timers.
 #[derive(Debug, Clone, Copy)]
 pub struct Runtime {
     executor: &'static LocalExecutor<'static>,
     requests: &'static LocalExecutor<'static>,
     control: &'static LocalExecutor<'static>,
-    limits: &'static LimitList,
+    timers: &'static TimerQueue,
 }
 
 impl Runtime {
-    /// A runtime without tasks. It lives as long as the process.
+    /// Creates a runtime without tasks. It is never freed.
     pub fn leaked() -> Self {
-        let limits: &'static LimitList = Box::leak(Box::default());
+        let timers: &'static TimerQueue = Box::leak(Box::default());
         let requests: &'static LocalExecutor<'static> = Box::leak(Box::default());
         let control: &'static LocalExecutor<'static> = Box::leak(Box::default());
-        control.spawn(limits.keep()).detach();
-        Self { executor: requests, requests, control, limits }
+        control.spawn(timers.run()).detach();
+        Self { executor: requests, requests, control, timers }
     }
 
-    /// The same runtime for tasks that control the router: its peers, its sources, its readiness. They go
-    /// before those that serve requests, so that a router with too much to do still learns what changes.
+    /// Returns a handle for control tasks: peers, sources and readiness. They run before tasks that
+    /// serve requests, so that an overloaded router still receives updates.
     pub fn control(self) -> Self {
         Self { executor: self.control, ..self }
     }
 
-    /// Runs all tasks until `future` has ended.
+    /// Runs all tasks until `future` completes.
     pub async fn run<T>(self, future: impl Future<Output = T>) -> T {
         self.requests.run(self.control.run(future)).await
     }
 
-    /// Starts a task.
+    /// Spawns a task on this handle's executor.
     pub fn spawn<T: 'static>(self, future: impl Future<Output = T> + 'static) -> smol::Task<T> {
         self.executor.spawn(future)
     }
 
-    /// Time since the machine started, suspensions included.
+    /// Returns the time since the machine started, suspensions included.
     pub fn now(self) -> Timestamp {
-        self.limits.clock.now()
+        self.timers.clock.now()
     }
 
-    /// Goes on as if the machine had just been suspended for `span`. For tests.
+    /// Advances the clock as if the machine had just been suspended for `span`. For tests.
     pub fn advance_clock(self, span: Duration) {
-        self.limits.clock.advance(span);
+        self.timers.clock.advance(span);
     }
 
-    /// Waits for `span`, rounded to the turns.
+    /// Waits for `span`, rounded to ticks.
     pub fn sleep(self, span: Duration) -> Sleep {
-        Sleep::new(self.limits, self.now() + span)
+        Sleep::new(self.timers, self.now() + span)
     }
 
-    /// Time until the common turn that is nearest to `span` from now, the next one at least.
+    /// Returns the time until the aligned tick nearest to `span` from now, at least the next one.
     pub fn until_aligned_tick(self, span: Duration) -> Duration {
         let now = self.now().since(Timestamp::ZERO);
-        let turn = COMMON_TURN.as_secs_f64();
-        let nearest = ((now + span).as_secs_f64() / turn).round();
-        let next = (now.as_secs_f64() / turn).floor() + 1.0;
-        COMMON_TURN.mul_f64(nearest.max(next)).saturating_sub(now)
+        let tick = ALIGNED_TICK_INTERVAL.as_secs_f64();
+        let nearest = ((now + span).as_secs_f64() / tick).round();
+        let next = (now.as_secs_f64() / tick).floor() + 1.0;
+        ALIGNED_TICK_INTERVAL.mul_f64(nearest.max(next)).saturating_sub(now)
     }
 
-    /// The future's output, or [`TimedOut`] after `limit`.
+    /// Runs a future for up to `limit` and returns its output.
     ///
     /// # Errors
-    /// If the limit passed first.
+    /// [`TimedOut`] if the limit expires first.
     pub async fn within<F: Future>(
         self,
         limit: Duration,
@@ -102,15 +101,15 @@
         output.or(expired).await
     }
 
-    /// The timer that the HTTP library uses.
+    /// Returns the timer for the HTTP library.
     pub fn http_timer(self) -> HttpTimer {
-        HttpTimer(self.limits)
+        HttpTimer(self.timers)
     }
 }
 
-/// The limits of a thread as the HTTP library asks for them.
+/// Adapts the timer queue to the HTTP library.
 #[derive(Debug, Clone, Copy)]
-pub struct HttpTimer(&'static LimitList);
+pub struct HttpTimer(&'static TimerQueue);
 
 impl hyper::rt::Timer for HttpTimer {
     fn sleep(&self, span: Duration) -> Pin<Box<dyn hyper::rt::Sleep>> {
@@ -122,62 +121,62 @@
     }
 }
 
-/// The place of a limit in the list: when it ends, and a number that tells it from others.
-type Entry = (Timestamp, u64);
+/// The key of a timer: its expiry time and a unique number.
+type TimerKey = (Timestamp, u64);
 
 #[derive(Debug)]
-struct Waiting {
-    wakers: BTreeMap<Entry, Waker>,
-    next: u64,
-    /// When the next turn is taken, if anything waits.
-    next_turn: Option<Timestamp>,
+struct TimerState {
+    wakers: BTreeMap<TimerKey, Waker>,
+    last_id: u64,
+    /// When the next tick runs; `None` if there is no timer.
+    next_tick: Option<Timestamp>,
 }
 
-/// All limits of a thread, in the order in which they end. Locked only by that thread.
+/// All timers of a thread in the order of their expiry. Only that thread locks it.
 #[derive(Debug)]
-struct LimitList {
+struct TimerQueue {
     clock: Clock,
-    waiting: Mutex<Waiting>,
-    /// Told when a limit is added that ends before the next turn.
+    state: Mutex<TimerState>,
+    /// Notified when a timer is added that expires before the next tick.
     earlier: (Sender<()>, Receiver<()>),
 }
 
-impl Default for LimitList {
+impl Default for TimerQueue {
     fn default() -> Self {
-        let waiting = Waiting { wakers: BTreeMap::new(), next: 0, next_turn: None };
+        let state = TimerState { wakers: BTreeMap::new(), last_id: 0, next_tick: None };
         Self {
             clock: Clock::default(),
-            waiting: Mutex::new(waiting),
+            state: Mutex::new(state),
             earlier: smol::channel::bounded(1),
         }
     }
 }
 
-impl LimitList {
-    async fn keep(&self) {
-        let mut last_turn = self.clock.now();
+impl TimerQueue {
+    async fn run(&self) {
+        let mut last_tick = self.clock.now();
         loop {
-            self.until_turn(last_turn + TURN_PERIOD).await;
-            last_turn = self.clock.now();
-            self.wake_ended(last_turn);
+            self.wait_for_tick(last_tick + MIN_TICK_INTERVAL).await;
+            last_tick = self.clock.now();
+            self.wake_expired(last_tick);
         }
     }
 
-    /// Waits until the first limit ends, and until `earliest` at least.
-    async fn until_turn(&self, earliest: Timestamp) {
+    /// Waits until the first timer expires, at least until `earliest`.
+    async fn wait_for_tick(&self, earliest: Timestamp) {
         loop {
-            let next_turn = self.plan_turn(earliest);
+            let next_tick = self.schedule_tick(earliest);
             let is_due = async {
-                match next_turn {
-                    Some(next_turn) => {
-                        let span = next_turn.since(self.clock.now());
+                match next_tick {
+                    Some(next_tick) => {
+                        let span = next_tick.since(self.clock.now());
                         smol::Timer::after(span).await;
                     }
                     None => std::future::pending().await,
                 }
                 true
             };
-            // The sender lives as long as the receiver.
+            // Cannot fail: the sender lives as long as the receiver.
             let is_earlier = async { self.earlier.1.recv().await.is_err() };
             if is_due.or(is_earlier).await {
                 return;
@@ -185,55 +184,55 @@
         }
     }
 
-    fn plan_turn(&self, earliest: Timestamp) -> Option<Timestamp> {
-        let mut waiting = self.lock();
-        let first = waiting.wakers.first_key_value().map(|((due, _), _)| *due);
-        waiting.next_turn = first.map(|due| due.max(earliest));
-        waiting.next_turn
+    fn schedule_tick(&self, earliest: Timestamp) -> Option<Timestamp> {
+        let mut state = self.lock();
+        let first = state.wakers.first_key_value().map(|((due, _), _)| *due);
+        state.next_tick = first.map(|due| due.max(earliest));
+        state.next_tick
     }
 
-    fn wake_ended(&self, now: Timestamp) {
-        let mut waiting = self.lock();
-        let still = waiting.wakers.split_off(&(now + SLACK, 0));
-        let ended = std::mem::replace(&mut waiting.wakers, still);
-        drop(waiting);
-        ended.into_values().for_each(Waker::wake);
+    fn wake_expired(&self, now: Timestamp) {
+        let mut state = self.lock();
+        let pending = state.wakers.split_off(&(now + TIMER_SLACK, 0));
+        let expired = std::mem::replace(&mut state.wakers, pending);
+        drop(state);
+        expired.into_values().for_each(Waker::wake);
     }
 
-    fn add(&self, due: Timestamp, waker: Waker) -> Entry {
-        let mut waiting = self.lock();
-        waiting.next += 1;
-        let entry = (due, waiting.next);
-        waiting.wakers.insert(entry, waker);
-        if waiting.next_turn.is_none_or(|next_turn| due < next_turn) {
-            // A full channel already tells it.
+    fn add(&self, due: Timestamp, waker: Waker) -> TimerKey {
+        let mut state = self.lock();
+        state.last_id += 1;
+        let key = (due, state.last_id);
+        state.wakers.insert(key, waker);
+        if state.next_tick.is_none_or(|next_tick| due < next_tick) {
+            // A full channel already holds a notification.
             let _ = self.earlier.0.try_send(());
         }
-        entry
+        key
     }
 
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, TimerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Waits until a moment, rounded to the turns.
+/// Waits until a point in time, rounded to ticks.
 #[derive(Debug)]
 pub struct Sleep {
-    limits: &'static LimitList,
+    timers: &'static TimerQueue,
     due: Timestamp,
-    entry: Option<Entry>,
+    key: Option<TimerKey>,
 }
 
 impl Sleep {
-    fn new(limits: &'static LimitList, due: Timestamp) -> Self {
-        Self { limits, due, entry: None }
+    fn new(timers: &'static TimerQueue, due: Timestamp) -> Self {
+        Self { timers, due, key: None }
     }
 
-    fn is_over(&self) -> bool {
-        match self.entry {
-            Some(entry) => !self.limits.lock().wakers.contains_key(&entry),
-            None => self.limits.clock.now() >= self.due,
+    fn is_elapsed(&self) -> bool {
+        match self.key {
+            Some(key) => !self.timers.lock().wakers.contains_key(&key),
+            None => self.timers.clock.now() >= self.due,
         }
     }
 }
@@ -242,18 +241,18 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.is_over() {
-            self.entry = None;
-            self.due = self.limits.clock.now();
+        if self.is_elapsed() {
+            self.key = None;
+            self.due = self.timers.clock.now();
             return Poll::Ready(());
         }
-        match self.entry {
-            Some(entry) => {
-                if let Some(waker) = self.limits.lock().wakers.get_mut(&entry) {
+        match self.key {
+            Some(key) => {
+                if let Some(waker) = self.timers.lock().wakers.get_mut(&key) {
                     waker.clone_from(context.waker());
                 }
             }
-            None => self.entry = Some(self.limits.add(self.due, context.waker().clone())),
+            None => self.key = Some(self.timers.add(self.due, context.waker().clone())),
         }
         Poll::Pending
     }
@@ -263,8 +262,8 @@
 
 impl Drop for Sleep {
     fn drop(&mut self) {
-        if let Some(entry) = self.entry {
-            self.limits.lock().wakers.remove(&entry);
+        if let Some(key) = self.key {
+            self.timers.lock().wakers.remove(&key);
         }
     }
 }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a router, in INI form, checked whole.
+//! Settings of a router, read from INI sections and validated together.
 
 use crate::catalogue::EnabledOrders;
 use mastbay_routing::{
@@ -13,60 +13,61 @@
 pub const SECTIONS: [&str; 8] =
     ["router", "peers", "retries", "quarantine", "warmup", "rollouts", "policy", "log"];
 
-/// Settings of a router.
+/// Settings of a router; each field names its section and key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouterSettings {
-    /// `[router] name`: its name in logs.
+    /// `[router] name`: name of the router in logs.
     pub name: String,
-    /// `[router] zone`: its zone.
+    /// `[router] zone`: zone of the router.
     pub zone: String,
-    /// `[router] regions`: the region of each zone, as `ZONE:REGION` with commas between.
+    /// `[router] regions`: the region of each zone, as comma-separated `ZONE:REGION`.
     pub regions: ZoneRegions,
-    /// `[router] callers`: where callers connect.
+    /// `[router] callers`: address for callers.
     pub callers: SocketAddr,
-    /// `[router] readiness`: where the balancer asks whether it takes work.
+    /// `[router] readiness`: address for readiness checks of the load balancer.
     pub readiness: SocketAddr,
-    /// `[router] operations`: where metrics are served and snapshots are handed to peers.
+    /// `[router] operations`: address that serves metrics, and snapshots for peers.
     pub operations: SocketAddr,
-    /// `[router] descriptors`: sockets and files that the process may have open.
+    /// `[router] descriptors`: maximum number of open sockets and files of the process.
     pub descriptors: usize,
-    /// `[router] memory`: memory that the process may take, in megabytes.
+    /// `[router] memory`: memory limit of the process, in megabytes.
     pub memory_megabytes: usize,
-    /// `[router] processor`: its part of a processor core.
+    /// `[router] processor`: processor cores available to the router; may be a fraction.
     pub processor: f64,
-    /// `[router] most-waiting`: requests that wait at a time.
+    /// `[router] most-waiting`: maximum number of waiting requests.
     pub most_waiting: usize,
-    /// `[router] stop-limit`: time for a planned stop.
+    /// `[router] stop-limit`: maximum duration of a planned stop.
     pub stop_limit: Duration,
-    /// `[router] share-window`: time over which tenants' shares are kept.
+    /// `[router] share-window`: time over which tenants' shares are maintained.
     pub share_window: Duration,
-    /// `[router] propagation`: time in which a change of a source must be in force.
+    /// `[router] propagation`: time within which a change at a source must be in force.
     pub propagation: Duration,
-    /// `[router] event-delay`: longest time by which an event of a stream may be delayed.
+    /// `[router] event-delay`: maximum delay of an event of a stream.
     pub event_delay: Duration,
     /// `[router] first-start`: whether the whole fleet starts for the first time.
     pub first_start: bool,
-    /// `[peers] listen`: where digests of peers arrive.
+    /// `[peers] listen`: address that receives digests from peers.
     pub digests: SocketAddr,
-    /// `[peers] seeds`: operations addresses of some other routers.
+    /// `[peers] seeds`: operations addresses of the routers to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// `[retries]`: the fleet's budget for second sends.
+    /// `[retries]`: the fleet's retry budget.
     pub budget: BudgetLimits,
-    /// `[quarantine]`: when a request is sent to no further back end.
+    /// `[quarantine]`: when a request that terminates back ends is quarantined.
     pub quarantine: QuarantineLimits,
     /// `[router] evacuations`: whether an operator may evacuate zones.
     pub evacuations: bool,
-    /// `[rollouts]`: what a version that is not judged yet may be sent; nothing if no versions are rolled out.
+    /// `[rollouts]`: traffic limits of a version that is not yet evaluated; `None` if roll-outs are
+    /// disabled.
     pub exposure: Option<ExposureLimits>,
-    /// `[warmup]`: how far above a cold back end's rate the fleet may go.
+    /// `[warmup]`: how far the fleet may exceed the rate of a cold back end.
     pub warmup: WarmupLimits,
     /// `[policy]`: how requests are placed, admitted and shared.
     pub policy: Policy,
-    /// `[log] filter`: what is logged.
+    /// `[log] filter`: filter directives for the log.
     pub log: String,
 }
 
-/// A fraction or amount that is not negative.
+/// A number from 0 to 1,000,000.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Amount(f64);
 
@@ -81,7 +82,7 @@
     }
 }
 
-/// A zone and its region.
+/// A zone and its region, as `ZONE:REGION`.
 #[derive(Debug, Clone, PartialEq)]
 struct ZoneRegion(String, String);
 
@@ -100,46 +101,48 @@
 
 const DEFAULT_DESCRIPTORS: u64 = 4_096;
 const DEFAULT_MEMORY: u64 = 256;
-/// Descriptors kept for files, listeners, sources and peers.
-const OTHER_DESCRIPTORS: usize = 300;
-/// Part of the other descriptors that callers' connections may take; the rest is for back ends.
-const CALLERS_PART: f64 = 0.75;
-/// Part of the memory that callers' connections may take.
-const CALLERS_MEMORY: f64 = 0.6;
-/// Part of the memory that bodies of requests may take.
-const BODIES_MEMORY: f64 = 0.2;
-/// Memory of an open connection with its request under way, in bytes, as measured (docs/CAPACITY.md).
+/// Descriptors reserved for files, listeners, sources and peers.
+const RESERVED_DESCRIPTORS: usize = 300;
+/// Fraction of the other descriptors for callers' connections; the rest is for back ends.
+const CALLERS_DESCRIPTOR_FRACTION: f64 = 0.75;
+/// Fraction of the memory for callers' connections.
+const CALLERS_MEMORY_FRACTION: f64 = 0.6;
+/// Fraction of the memory for bodies of requests.
+const BODIES_MEMORY_FRACTION: f64 = 0.2;
+/// Memory of an open connection with a request in progress, in bytes (docs/CAPACITY.md).
 const CONNECTION_MEMORY: f64 = 60e3;
-/// Part of the connections from which on answers end their connection.
-const CROWDED_PART: usize = 3;
+/// Above the maximum number of connections divided by this, answers close their connections.
+const CROWDED_DIVISOR: usize = 3;
 
 impl RouterSettings {
-    /// Whether it is one of the routers that others call first.
+    /// Returns whether this router is one of the seeds.
     pub fn is_seed(&self) -> bool {
         self.seeds.contains(&self.operations)
     }
 
-    /// What an operator may order.
+    /// Returns the kinds of operator orders that the settings enable.
     pub fn enabled_orders(&self) -> EnabledOrders {
         EnabledOrders { evacuations: self.evacuations, rollouts: self.exposure.is_some() }
     }
 
-    /// Callers' connections that may be open at a time.
+    /// Returns the maximum number of callers' connections, by descriptors and memory; at least one.
     pub fn max_connections(&self) -> usize {
-        let by_descriptors =
-            self.descriptors.saturating_sub(OTHER_DESCRIPTORS) as f64 * CALLERS_PART;
-        let by_memory = self.memory_megabytes as f64 * 1e6 * CALLERS_MEMORY / CONNECTION_MEMORY;
+        let by_descriptors = self.descriptors.saturating_sub(RESERVED_DESCRIPTORS) as f64
+            * CALLERS_DESCRIPTOR_FRACTION;
+        let by_memory =
+            self.memory_megabytes as f64 * 1e6 * CALLERS_MEMORY_FRACTION / CONNECTION_MEMORY;
         (by_descriptors.min(by_memory) as usize).max(1)
     }
 
-    /// Bytes that the bodies of requests under way may take together.
+    /// Returns the memory for bodies of all requests in progress, in bytes.
     pub fn body_bytes(&self) -> u64 {
-        (self.memory_megabytes as f64 * 1e6 * BODIES_MEMORY) as u64
+        (self.memory_megabytes as f64 * 1e6 * BODIES_MEMORY_FRACTION) as u64
     }
 
-    /// Open connections from which on answers end their connection, so that idle ones give way.
+    /// Returns the number of open connections above which answers close their connections, so that
+    /// idle ones do not take the place of others.
     pub fn crowded_connections(&self) -> usize {
-        self.max_connections() / CROWDED_PART
+        self.max_connections() / CROWDED_DIVISOR
     }
 }
 
@@ -150,7 +153,8 @@
 const DEFAULT_EVENT_DELAY: Duration = Duration::from_millis(120);
 const DEFAULT_SHARE_WINDOW: Duration = Duration::from_secs(4);
 
-/// Reads the sections of a router.
+/// Reads the settings of a router. Adds faults to `faults`, and returns `None` if a required value
+/// is missing or malformed.
 pub fn read_router_settings(document: &Document, faults: &mut Faults) -> Option<RouterSettings> {
     let mut section = document.section("router", faults);
     let name: Option<String> = section.required("name");
@@ -237,7 +241,7 @@
     let default = ExposureLimits::default();
     let mut section = document.section("rollouts", faults);
     let is_possible = section.or("possible", false);
-    let share = section.or("share", Part(default.share));
+    let share = section.or("share", Fraction(default.share));
     let burst = section.or("burst", Amount(default.burst));
     section.finish();
     is_possible.then_some(ExposureLimits { share: share.0, burst: burst.0 })
@@ -265,16 +269,18 @@
         preferred_engines: preferred.0 as usize,
         preferred_engines_cheap: cheap.0 as usize,
         late_slack: section.or("late-slack", Amount(default.late_slack)).0,
-        locality_wait_fraction: section.or("locality-wait", Part(default.locality_wait_fraction)).0,
-        reserve_below_half: section.or("reserve-below-half", Part(default.reserve_below_half)).0,
-        slowdown: section.or("slowdown", Times(default.slowdown)).0,
-        strained_slowdown: section.or("strained-slowdown", Times(default.strained_slowdown)).0,
-        accepted_misses: section.or("accepted-misses", Times(default.accepted_misses)).0,
+        locality_wait_fraction: section.or("locality-wait", Fraction(default.locality_wait_fraction)).0,
+        reserve_below_half: section
+            .or("reserve-below-half", Fraction(default.reserve_below_half))
+            .0,
+        slowdown: section.or("slowdown", Factor(default.slowdown)).0,
+        strained_slowdown: section.or("strained-slowdown", Factor(default.strained_slowdown)).0,
+        accepted_misses: section.or("accepted-misses", Factor(default.accepted_misses)).0,
         above_share_time_fraction: section
-            .or("above-share-time", Part(default.above_share_time_fraction))
+            .or("above-share-time", Fraction(default.above_share_time_fraction))
             .0,
-        time_fraction: section.or("time-part", Part(default.time_fraction)).0,
-        wait_fraction: section.or("hold-part", Part(default.wait_fraction)).0,
+        time_fraction: section.or("time-part", Fraction(default.time_fraction)).0,
+        wait_fraction: section.or("hold-part", Fraction(default.wait_fraction)).0,
         fair_share: section.or("fair-share", default.fair_share),
         fair_capacity: section.or("fair-capacity", Capacity(default.fair_capacity)).0,
         latency_ratio: section.or("latency-ratio", default.latency_ratio),
@@ -283,37 +289,37 @@
     policy
 }
 
-/// A part of a whole.
+/// A fraction from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Part(f64);
+struct Fraction(f64);
 
-impl Value for Part {
+impl Value for Fraction {
     const EXPECTED: &'static str = "a number from 0 to 1";
 
     fn read(text: &str) -> Result<Self, Expected> {
         match text.parse::<f64>() {
-            Ok(part) if (0.0..=1.0).contains(&part) => Ok(Part(part)),
+            Ok(fraction) if (0.0..=1.0).contains(&fraction) => Ok(Fraction(fraction)),
             _ => Err(Self::EXPECTED.into()),
         }
     }
 }
 
-/// How many times of something.
+/// A factor from 0.001 to 100.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Times(f64);
+struct Factor(f64);
 
-impl Value for Times {
+impl Value for Factor {
     const EXPECTED: &'static str = "a number from 0.001 to 100";
 
     fn read(text: &str) -> Result<Self, Expected> {
         match text.parse::<f64>() {
-            Ok(times) if (0.001..=100.0).contains(&times) => Ok(Times(times)),
+            Ok(factor) if (0.001..=100.0).contains(&factor) => Ok(Factor(factor)),
             _ => Err(Self::EXPECTED.into()),
         }
     }
 }
 
-/// The capacity that fair shares are parts of.
+/// The capacity that fair shares are fractions of.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Capacity(FairCapacity);
 
@@ -329,7 +335,7 @@
     }
 }
 
-/// How many requests may be under way at one engine.
+/// The policy for the number of requests in progress at one engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Concurrency(ConcurrencyPolicy);
 
@@ -340,7 +346,7 @@
         match (text, text.parse::<u32>()) {
             ("adaptive", _) => Ok(Concurrency(ConcurrencyPolicy::Adaptive)),
             ("slots", _) => Ok(Concurrency(ConcurrencyPolicy::Slots)),
-            (_, Ok(most @ 1..=100_000)) => Ok(Concurrency(ConcurrencyPolicy::Fixed(most))),
+            (_, Ok(limit @ 1..=100_000)) => Ok(Concurrency(ConcurrencyPolicy::Fixed(limit))),
             _ => Err(Self::EXPECTED.into()),
         }
     }
--- a/crates/router/src/snapshots.rs
+++ b/crates/router/src/snapshots.rs
@@ -1,15 +1,16 @@
-//! Snapshots of configuration and back ends that routers hand to each other.
+//! Snapshots of configuration and back ends that routers fetch from each other.
 //!
-//! After a change a router may hand out the same snapshot dozens of times, so the last one is kept encoded.
+//! After a change a router may serve the same snapshot dozens of times, so the last one is cached
+//! in encoded form.
 
 use crate::catalogue::{Catalogue, Versions};
 use bytes::Bytes;
 use mastbay_routing::Revision;
 
-/// Where peers fetch configuration and back ends.
+/// Path at which peers fetch snapshots.
 pub const SNAPSHOT_PATH: &str = "/snapshot";
 
-/// The path and query that ask for what is newer than `known`.
+/// Returns the path and query that request what is newer than `known`.
 pub fn snapshot_target(known: Versions) -> String {
     let Versions { configuration, back_ends, evacuations, rollouts } = known;
     format!(
@@ -18,7 +19,7 @@
     )
 }
 
-/// The versions that a query names; what it does not name or what is no number is taken as unknown.
+/// Parses the versions in a query; those that are missing or malformed count as unknown.
 pub fn known_versions(query: Option<&str>) -> Versions {
     let mut known = Versions::default();
     for (name, value) in
@@ -35,43 +36,43 @@
     known
 }
 
-/// What an encoded snapshot holds.
+/// Identifies the contents of an encoded snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Contents {
+struct SnapshotContents {
     versions: Versions,
     has_configuration: bool,
-    /// The revision after which changes of back ends are told, if any are.
+    /// The revision since which it holds the changes of back ends; `None` if it holds none.
     back_ends_since: Option<Revision>,
     has_evacuations: bool,
     has_rollouts: bool,
 }
 
-/// Snapshots, encoded; the last one is kept.
+/// Encodes snapshots and caches the last one.
 #[derive(Debug, Default)]
 pub struct EncodedSnapshots {
-    last: Option<(Contents, Bytes)>,
+    last: Option<(SnapshotContents, Bytes)>,
 }
 
 impl EncodedSnapshots {
-    /// A snapshot for a router that has `known` in force.
+    /// Returns the encoded snapshot for a router that has `known` in force.
     ///
     /// # Errors
-    /// If it cannot be encoded.
+    /// If the snapshot cannot be encoded.
     pub fn get(
         &mut self,
         catalogue: &Catalogue,
         known: Versions,
     ) -> Result<Bytes, rmp_serde::encode::Error> {
         let versions = catalogue.versions();
-        let contents = Contents {
+        let contents = SnapshotContents {
             versions,
             has_configuration: versions.configuration > known.configuration,
             back_ends_since: (versions.back_ends > known.back_ends).then_some(known.back_ends),
             has_evacuations: versions.evacuations > known.evacuations,
             has_rollouts: versions.rollouts > known.rollouts,
         };
-        if let Some((kept, encoded)) = &self.last
-            && *kept == contents
+        if let Some((cached, encoded)) = &self.last
+            && *cached == contents
         {
             return Ok(encoded.clone());
         }
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -1,4 +1,4 @@
-//! A router's life: start, reload, planned stop.
+//! Start, reload and planned stop of a router.
 
 use crate::callers::serve_callers;
 use crate::events;
@@ -16,39 +16,39 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Why a router did not run.
+/// Error that keeps a router from running.
 #[derive(Debug, Display, Error)]
 pub enum RunError {
-    /// An address could not be opened.
+    /// An address cannot be bound.
     #[display("cannot listen on {address}: {source}")]
     Bind {
-        /// The address.
+        /// The address to bind.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Signals cannot be watched.
-    #[display("signals cannot be watched: {source}")]
+    /// The signal handlers cannot be installed.
+    #[display("cannot install signal handlers: {source}")]
     Signals {
-        /// The cause.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Time in which balancers notice that the router is not ready any more; it still accepts.
-const NOTICE_TIME: Duration = Duration::from_millis(2_600);
-/// Time before the stop limit at which what still runs is cut.
+/// Time for load balancers to notice that the router is not ready; it still accepts connections.
+const READINESS_NOTICE_TIME: Duration = Duration::from_millis(2_600);
+/// Time before the stop limit at which remaining requests are cut off.
 const STOP_MARGIN: Duration = Duration::from_millis(250);
-/// Connections to the readiness and operations addresses: all members of an aggregator may ask it for a snapshot
-/// at the same time.
-const OPERATIONS_CONNECTIONS: usize = 160;
-/// Time between two sweeps of idle connections.
-const SWEEP_PERIOD: Duration = Duration::from_millis(500);
+/// Maximum number of connections to each of the readiness and operations addresses: all members of
+/// an aggregator may fetch a snapshot at the same time.
+const MAX_OPERATIONS_CONNECTIONS: usize = 160;
+/// Interval between sweeps of idle connections and expired quarantine entries.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs a router until it is asked to stop. `on_reload` is called when its settings have changed.
+/// Runs a router until SIGTERM or SIGINT, and calls `on_reload` at each SIGHUP.
 ///
 /// # Errors
-/// If an address cannot be opened or signals cannot be watched.
+/// If an address cannot be bound or the signal handlers cannot be installed.
 pub async fn run(
     router: Rc<Router>,
     registry: Rc<Registry>,
@@ -68,11 +68,11 @@
     start_background(&router, &digests);
     serve_operations(&router, registry, readiness_listener, operations_listener);
     let serving = serve_callers(&router, callers, offloaded_listener);
-    events::life("started", &settings.name);
+    events::process("started", &settings.name);
     while let Some(signal) = signals.next().await {
         match signal {
             Ok(Signal::Hup) => {
-                events::life("reload", &settings.name);
+                events::process("reload", &settings.name);
                 on_reload();
             }
             Ok(_) | Err(_) => break,
@@ -89,14 +89,14 @@
 fn start_background(router: &Rc<Router>, digests: &Rc<UdpSocket>) {
     let runtime = router.runtime;
     let control = runtime.control();
-    runtime.spawn(router.clone().keep_polling()).detach();
+    runtime.spawn(router.clone().run_ticks()).detach();
     control.spawn(peers::send_rounds(router.clone(), digests.clone())).detach();
     control.spawn(peers::receive_messages(router.clone(), digests.clone())).detach();
     control.spawn(peers::fetch_newer(router.clone())).detach();
     let sweeping = router.clone();
     let sweep = async move {
         loop {
-            sweeping.runtime.sleep(sweeping.runtime.until_aligned_tick(SWEEP_PERIOD)).await;
+            sweeping.runtime.sleep(sweeping.runtime.until_aligned_tick(SWEEP_INTERVAL)).await;
             sweeping.pool.sweep();
             quarantine::expire(&sweeping);
         }
@@ -111,17 +111,17 @@
     operations_listener: TcpListener,
 ) {
     let limits = ListenerLimits {
-        max_connections: OPERATIONS_CONNECTIONS,
+        max_connections: MAX_OPERATIONS_CONNECTIONS,
         head_bytes: 8 << 10,
         idle_timeout: Duration::from_secs(30),
         overflow_fraction: 0.0,
         max_age: None,
         hello: None,
     };
-    let never = StopSignal::default();
-    let asked = router.clone();
+    let no_stop = StopSignal::default();
+    let answering = router.clone();
     let handler = move |_| {
-        let answer = readiness(&asked);
+        let answer = readiness(&answering);
         async move { answer }
     };
     let runtime = router.runtime.control();
@@ -131,14 +131,14 @@
             readiness_listener,
             move || limits,
             close_unread(),
-            never.clone(),
+            no_stop.clone(),
             OpenConnections::default(),
             move |_| handler.clone(),
         ))
         .detach();
-    let asked = router.clone();
+    let answering = router.clone();
     let handler = move |request| {
-        let answer = operations(&asked, &registry, &request);
+        let answer = operations(&answering, &registry, &request);
         async move { answer }
     };
     runtime
@@ -147,23 +147,23 @@
             operations_listener,
             move || limits,
             close_unread(),
-            never,
+            no_stop,
             OpenConnections::default(),
             move |_| handler.clone(),
         ))
         .detach();
 }
 
-/// Not ready first, still accepting while balancers notice; then no new connections, and all that runs
-/// goes to its end.
+/// Stops the router: it is not ready but still accepts connections until load balancers notice,
+/// then accepts none and lets requests in progress complete until the stop limit.
 async fn stop(router: &Rc<Router>, serving: smol::Task<()>) {
     let name = &router.settings.name;
-    events::life("stopping", name);
+    events::process("stopping", name);
     router.stopping.set(true);
     let limit = router.settings.stop_limit.saturating_sub(STOP_MARGIN);
-    let notice = NOTICE_TIME.min(limit / 2);
+    let notice = READINESS_NOTICE_TIME.min(limit / 2);
     router.runtime.sleep(notice).await;
     router.stop.trigger();
     let ended = router.runtime.within(limit - notice, serving).await;
-    events::life(if ended.is_ok() { "stopped" } else { "stopped_at_limit" }, name);
+    events::process(if ended.is_ok() { "stopped" } else { "stopped_at_limit" }, name);
 }
--- a/crates/router/src/update_signal.rs
+++ b/crates/router/src/update_signal.rs
@@ -1,4 +1,4 @@
-//! News of the configuration and the back ends: where they come from, and who is told.
+//! The origin of updates, and the signal that wakes the task which sends them to peers.
 
 use derive_more::Display;
 use smol::channel::{Receiver, Sender};
@@ -10,13 +10,13 @@
     /// The router's own source.
     #[display("source")]
     Source,
-    /// Another router, by the address where it hands out snapshots.
+    /// Another router, by the address where it serves snapshots.
     #[display("peer")]
     Peer(SocketAddr),
 }
 
 impl Origin {
-    /// The other router, if it came from one.
+    /// Returns the address of the other router; `None` for the router's own source.
     pub fn peer(self) -> Option<SocketAddr> {
         match self {
             Self::Source => None,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Wakes one task; giving it again before that changes nothing.
+/// Wakes one task. Notifications that arrive before it waits count as one.
 pub(crate) struct UpdateSignal(Sender<()>, Receiver<()>);
 
 impl Default for UpdateSignal {
@@ -38,13 +38,13 @@
 impl UpdateSignal {
     /// Wakes the task.
     pub(crate) fn notify(&self) {
-        // A full channel already holds the news.
+        // A full channel already holds a notification.
         let _ = self.0.try_send(());
     }
 
-    /// Waits until it is given.
+    /// Waits for a notification.
     pub(crate) async fn notified(&self) {
-        // The sender lives as long as the receiver.
+        // Cannot fail: the sender lives as long as the receiver.
         let _ = self.1.recv().await;
     }
 }
