--- a/crates/router/src/catalogue.rs
+++ b/crates/router/src/catalogue.rs
@@ -1,7 +1,6 @@
 //! The configuration, back ends, evacuations and roll-outs that a router has in force.
 //!
-//! Sources plug in here. For as long as a router runs, each part is only replaced by a newer
-//! version.
+//! Sources plug in here. While a router runs, each part is only replaced by a newer version.
 
 use mastbay_routing::{
     BackEndDirectory, BackEndUpdate, EvacuatedZones, Evacuations, Revision, Rollouts, RouteTable,
@@ -93,8 +92,7 @@
         self.back_ends.apply(now, recovering, offered)
     }
 
-    /// Replaces the evacuated zones if `offered` is newer. Returns the zones that get no new
-    /// requests.
+    /// Replaces the evacuated zones if `offered` is newer. Returns the zones to avoid if so.
     pub fn offer_evacuations(
         &mut self,
         now: Timestamp,
@@ -110,8 +108,8 @@
         self.back_ends.expire(now)
     }
 
-    /// Trusts a restored source once its uncertainty window has ended. Returns the zones that get
-    /// no new requests, if they may have changed.
+    /// Trusts a restored source once its uncertainty window has ended. Returns the zones to avoid
+    /// if they may have changed.
     pub fn expire_evacuations(&mut self, now: Timestamp) -> Option<EvacuatedZones> {
         let is_trusted = self.evacuations.expire(now);
         self.evacuations.in_force().filter(|_| is_trusted)
@@ -128,8 +126,7 @@
     }
 
     /// Returns whether everything is known that serving requests needs. Without evacuations a
-    /// router might send to an evacuated zone, and without roll-outs to a version that is not yet
-    /// evaluated.
+    /// router might send to an evacuated zone, and without roll-outs to an unevaluated version.
     pub fn is_complete(&self) -> bool {
         let knows_evacuations = !self.enabled.evacuations || self.evacuations.known().is_some();
         let knows_rollouts = !self.enabled.rollouts || self.rollouts.is_some();
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,5 +1,4 @@
-//! The router's time source: a monotonic clock that includes the time for which the machine is
-//! suspended.
+//! The router's time source: a monotonic clock that includes suspensions of the machine.
 //!
 //! `std::time::Instant` stops during a suspension, so requests would reach back ends with too much
 //! time left, and state from before it would look fresh. Wall-clock time decides nothing.
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -22,7 +22,7 @@
 /// Logs the end of a request, with the details of the refusal if it was refused.
 pub fn request_ended(call: &Call, outcome: &Outcome, now: Timestamp) {
     match call.trace.borrow().considered.as_ref() {
-        Some(considered) => refused(call, outcome, considered, now),
+        Some(details) => refused(call, outcome, details, now),
         None => served_or_failed(call, outcome, now),
     }
 }
@@ -61,7 +61,7 @@
     );
 }
 
-fn refused(call: &Call, outcome: &Outcome, considered: &RefusalDetails, now: Timestamp) {
+fn refused(call: &Call, outcome: &Outcome, details: &RefusalDetails, now: Timestamp) {
     let trace = call.trace.borrow();
     let prompt = call.head.prompt.as_ref();
     tracing::info!(
@@ -75,16 +75,16 @@
         handed_on_by = call.forwarded_by.map(|router| router.to_string()),
         tenant = call.tenant.as_deref().unwrap_or(""),
         service = %call.service,
-        back_end = %considered.back_end,
+        back_end = %details.back_end,
         took_ms = milliseconds(now.since(call.arrived)),
-        predicted_ms = milliseconds(considered.predicted),
-        running = considered.running,
-        limit = considered.limit,
-        pending_prefill = considered.pending_prefill,
-        tenant_asked = considered.asked as u64,
-        tenant_given = considered.given as u64,
-        rates_age_ms = milliseconds(considered.rates_age),
-        fair_level = considered.fair_level.map(|level| level as u64),
+        predicted_ms = milliseconds(details.predicted),
+        running = details.running,
+        limit = details.limit,
+        pending_prefill = details.pending_prefill,
+        tenant_asked = details.asked as u64,
+        tenant_given = details.given as u64,
+        rates_age_ms = milliseconds(details.rates_age),
+        fair_level = details.fair_level.map(|level| level as u64),
         prompt_tokens = prompt.map_or(0, |prompt| prompt.input_tokens),
         retry_after_ms = trace.retry_after.map_or(0, milliseconds),
         draining = trace.left_out.draining,
@@ -102,7 +102,7 @@
     request_id: Option<&str>,
     answer: OwnAnswer,
     versions: (u64, Revision),
-    handed_on_by: Option<IpAddr>,
+    forwarded_by: Option<IpAddr>,
 ) {
     tracing::info!(
         event = "request_turned_away",
@@ -111,13 +111,13 @@
         status = answer.status().as_u16(),
         configuration = versions.0,
         back_ends = %versions.1,
-        handed_on_by = handed_on_by.map(|router| router.to_string()),
+        handed_on_by = forwarded_by.map(|router| router.to_string()),
     );
 }
 
 /// Logs how many lines about requests the rate limit suppressed in the last second.
-pub fn lines_left_out(left_out: SuppressedLines) {
-    let SuppressedLines { successes, failures } = left_out;
+pub fn lines_left_out(suppressed: SuppressedLines) {
+    let SuppressedLines { successes, failures } = suppressed;
     tracing::warn!(event = "lines_left_out", successes, failures);
 }
 
@@ -368,14 +368,14 @@
 }
 
 /// Logs that the router starts or stops shedding new callers.
-pub fn overload(shedding: bool, lateness: f64, turn: Tick) {
+pub fn overload(shedding: bool, lateness: f64, tick: Tick) {
     tracing::info!(
         event = "overload",
         shedding,
         lateness,
-        connections_part = turn.connections,
-        zone_shedding = turn.peers.shedding,
-        others_larger = turn.peers.larger,
+        connections_part = tick.connections,
+        zone_shedding = tick.peers.shedding,
+        others_larger = tick.peers.larger,
     );
 }
 
--- a/crates/router/src/forwarding.rs
+++ b/crates/router/src/forwarding.rs
@@ -21,8 +21,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time beyond a request's timeout for its answer to come back from the peer, which enforces the
-/// timeout.
+/// Added to a request's timeout, which the peer enforces, for the answer to come back from there.
 const RETURN_MARGIN: Duration = Duration::from_millis(250);
 
 /// Forwards a connection to a peer in the zone. If none accepts it, serves it locally, except for
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -38,7 +38,7 @@
     backing_off: Gauge,
     quarantined: Gauge,
     quarantined_calls: Counter,
-    unread: Counter,
+    write_timeouts: Counter,
     first_event: Histogram,
     duration: Histogram,
 }
@@ -57,7 +57,7 @@
             backing_off: Gauge::default(),
             quarantined: Gauge::default(),
             quarantined_calls: Counter::default(),
-            unread: Counter::default(),
+            write_timeouts: Counter::default(),
             first_event: Histogram::new(exponential_buckets(0.005, 1.6, 16)),
             duration: Histogram::new(exponential_buckets(0.005, 2.0, 14)),
         };
@@ -90,7 +90,7 @@
         registry.register(name, help, metrics.quarantined_calls.clone());
         let name = "mastbay_router_unread_answers";
         let help = "Connections ended since their callers did not read their answers";
-        registry.register(name, help, metrics.unread.clone());
+        registry.register(name, help, metrics.write_timeouts.clone());
         let name = "mastbay_router_first_event_seconds";
         registry.register(name, "time to a stream's first event", metrics.first_event.clone());
         let name = "mastbay_router_request_seconds";
@@ -151,8 +151,8 @@
     }
 
     /// Counts connections closed because their callers did not read their answers.
-    pub fn on_unread(&self, connections: u32) {
-        self.unread.inc_by(u64::from(connections));
+    pub fn on_write_timeouts(&self, connections: u32) {
+        self.write_timeouts.inc_by(u64::from(connections));
     }
 
     /// Counts an arrival of a quarantined request.
--- a/crates/router/src/offload.rs
+++ b/crates/router/src/offload.rs
@@ -2,8 +2,8 @@
 //!
 //! Bytes are copied without parsing, which costs a fraction of serving the requests, and answers
 //! are copied at intervals. The peer sends a hello before any byte of the caller is forwarded, so a
-//! connection that no peer accepts can still be served or closed here. Peers do not forward it
-//! again.
+//! connection that no peer accepts can still be served or closed here. Peers never
+//! forward a connection again.
 //!
 //! Both routers must have the same configuration in force. The peer serves the connection by it,
 //! and requests are copied only while it is in force here: callers of one address see one
@@ -218,8 +218,7 @@
     pending_since: Cell<Option<Timestamp>>,
     /// The first bytes of the last request.
     request_start: RefCell<Vec<u8>>,
-    /// The last answer closes the connection: the peer reads nothing that the caller sends after
-    /// it.
+    /// The last answer closes the connection, so the peer reads no further request.
     closes_connection: Cell<bool>,
 }
 
@@ -301,8 +300,7 @@
 }
 
 thread_local! {
-    /// One buffer for all connections: bytes are written as soon as they are read, so none stay in
-    /// it.
+    /// One buffer for all connections: bytes are written as soon as they are read.
     static BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; BUFFER_SIZE].into_boxed_slice());
 }
 
@@ -340,9 +338,8 @@
     ConfigurationChanged,
 }
 
-/// Waits for bytes of a request and copies them. If the caller has closed by the time its request
-/// is read, nothing is copied: an overloaded router would forward requests of callers that left
-/// long ago.
+/// Waits for bytes of a request and copies them, unless the caller has closed by then: an
+/// overloaded router would otherwise forward requests of callers that left long ago.
 async fn copy_requests_once(
     runtime: Runtime,
     caller: &mut TcpStream,
--- a/crates/router/src/operations.rs
+++ b/crates/router/src/operations.rs
@@ -14,8 +14,7 @@
 /// Path of the metrics endpoint.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Answers a request to the readiness address: 200 if the router takes work, else 503. The path is
-/// ignored.
+/// Answers a request to the readiness address, with any path: 200 if the router is ready, else 503.
 pub fn readiness(router: &Router) -> Response<LocalBody> {
     let status = if router.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     plain(status, Bytes::new())
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -76,8 +76,7 @@
     }
 }
 
-/// Returns the digest addresses of the other seeds: all routers listen for digests on the same
-/// port.
+/// Returns the digest addresses of the other seeds. All routers use the same port for digests.
 fn seeds(router: &Router) -> Vec<SocketAddr> {
     let own = router.settings.digests;
     let seeds = router.settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), own.port()));
@@ -164,7 +163,8 @@
             // The router's own source usually delivers the same update soon.
             router.runtime.sleep(FETCH_INTERVAL).await;
         }
-        let still_newer = router.dispatcher.borrow().newer_snapshot_address(router.now(), rand::random());
+        let still_newer =
+            router.dispatcher.borrow().newer_snapshot_address(router.now(), rand::random());
         let Some(address) = still_newer else { continue };
         match fetch_snapshot(&router, address).await {
             FetchResult::Applied => router.peer_fetch_failed.set(false),
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,5 +1,4 @@
-//! Quarantines requests that terminate the back ends which run them, together with the other
-//! routers.
+//! Quarantines requests that terminate back ends, together with the other routers.
 //!
 //! Without this, such a request would be sent to another back end each time that it arrives
 //! (`tests/fatal_requests.rs`).
@@ -36,8 +35,8 @@
 /// Returns whether it does.
 pub fn take_probe(router: &Router, call: &Call) -> bool {
     let request = call.fingerprint();
-    let turn = router.dispatcher.borrow().probe_slot(request);
-    let is_probe = router.quarantine.borrow_mut().take_probe(router.now(), request, turn);
+    let slot = router.dispatcher.borrow().probe_slot(request);
+    let is_probe = router.quarantine.borrow_mut().take_probe(router.now(), request, slot);
     if is_probe {
         events::request_probed(request, &call.head.request_id);
     }
@@ -65,7 +64,11 @@
     let request = call.fingerprint();
     let known = router.quarantine.borrow().status(router.now(), request);
     let is_unresolved = router.broken.unresolved_for(request) > 0;
-    if known == QuarantineStatus::Clear && is_unresolved { QuarantineStatus::Suspect } else { known }
+    if known == QuarantineStatus::Clear && is_unresolved {
+        QuarantineStatus::Suspect
+    } else {
+        known
+    }
 }
 
 /// Returns whether back ends terminated, or may have, while they ran a request.
@@ -125,7 +128,7 @@
 }
 
 fn record_quarantined(router: &Router, quarantined: &[QuarantinedRequest], source: &str) {
-    quarantined.iter().for_each(|one| events::request_quarantined(one, source));
+    quarantined.iter().for_each(|request| events::request_quarantined(request, source));
     let all = router.quarantine.borrow().quarantined(router.now());
     router.metrics.set_quarantined(all.len());
 }
@@ -149,8 +152,7 @@
     messages
 }
 
-/// Returns the message that reports all quarantined requests to a new peer; `None` if there are
-/// none.
+/// Returns the message that reports all quarantined requests to a new peer, if there are any.
 pub fn message_for_new_peer(router: &Router) -> Option<PeerMessage> {
     let reports = router.quarantine.borrow().reports_for_new_peer(router.now());
     (!reports.is_empty()).then_some(PeerMessage::Ends(reports))
--- a/crates/router/src/quarantine_archive.rs
+++ b/crates/router/src/quarantine_archive.rs
@@ -1,5 +1,5 @@
-//! Keeps quarantined requests in an archive that survives the loss of all routers, which have no
-//! disk.
+//! Keeps quarantined requests in an archive, since routers have no disk and may all be lost at
+//! once.
 //!
 //! The few routers that follow the source write missing entries to the archive and read those that
 //! they lack; the other routers learn of them through peer messages. An operator lifts a quarantine
@@ -167,7 +167,7 @@
     let known = known.borrow();
     let Some(known) = known.as_ref() else { return Vec::new() };
     let mut quarantined = quarantine::quarantined(router);
-    quarantined.retain(|one| !known.contains_key(&one.request));
+    quarantined.retain(|entry| !known.contains_key(&entry.request));
     quarantined
 }
 
@@ -175,7 +175,7 @@
 fn obsolete(router: &Router, known: &KnownEntries) -> Vec<RequestFingerprint> {
     let now = router.now();
     let quarantined: BTreeSet<RequestFingerprint> =
-        quarantine::quarantined(router).iter().map(|one| one.request).collect();
+        quarantine::quarantined(router).iter().map(|entry| entry.request).collect();
     let is_obsolete = |request: &RequestFingerprint, until: Timestamp| {
         let is_expired = until + REMOVAL_DELAY <= now;
         let is_cleared = until > now && !quarantined.contains(request);
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -187,8 +187,7 @@
         }
     }
 
-    /// Applies an update of the back ends, a full list or changes, if it is newer than the known
-    /// one.
+    /// Applies an update of the back ends, a full list or changes, if it is newer.
     pub fn offer_back_ends(&self, offered: impl Into<BackEndUpdate>, origin: Origin) {
         let offered: BackEndUpdate = offered.into();
         let now = self.now();
@@ -300,14 +299,14 @@
         if self.peer_fetch_failed.get() || is_complete {
             return self.peer_fetch_failed.get() || dispatcher.follows_source(now);
         }
-        let newcomer = StartingRouter {
+        let starting = StartingRouter {
             running: now.since(Timestamp::ZERO),
             routers: dispatcher.fleet_size(),
             is_seed: self.settings.seeds.is_empty() || self.settings.is_seed(),
             follows_source: dispatcher.follows_source(now),
             others_reach_source: dispatcher.others_reach_source(now),
         };
-        newcomer.queries_source()
+        starting.queries_source()
     }
 
     /// Records the result of a call to a source.
@@ -383,7 +382,7 @@
         let mut recorder = self.overflow.borrow_mut();
         let full = self.open.take_refused();
         self.metrics.on_full(full);
-        self.metrics.on_unread(self.open.take_write_timeouts());
+        self.metrics.on_write_timeouts(self.open.take_write_timeouts());
         recorder.record_full(full);
         if let Some(counts) = recorder.take_due(now) {
             events::connections_overflowed(counts, self.overload.borrow().lateness());
@@ -417,8 +416,7 @@
             || self.open.count() > self.settings.crowded_connections()
     }
 
-    /// Returns the version of the configuration in force and the revision of the back ends, zero if
-    /// unknown.
+    /// Returns the version of the configuration and the revision of the back ends, zero if unknown.
     pub fn versions(&self) -> (u64, Revision) {
         let versions = self.catalogue.borrow().versions();
         (versions.configuration, versions.back_ends)
@@ -443,9 +441,9 @@
     /// Returns whether a log line about a request may be written now. Logs how many were suppressed
     /// once a period has ended.
     pub(crate) fn may_write_line(&self, kind: LogLineKind) -> bool {
-        let (is_written, left_out) = self.log_limiter.borrow_mut().allow(self.now(), kind);
-        if let Some(left_out) = left_out {
-            events::lines_left_out(left_out);
+        let (is_written, suppressed) = self.log_limiter.borrow_mut().allow(self.now(), kind);
+        if let Some(suppressed) = suppressed {
+            events::lines_left_out(suppressed);
         }
         is_written
     }
@@ -476,8 +474,7 @@
         }
     }
 
-    /// Returns the time until the next tick, short while requests wait or the router is under
-    /// pressure.
+    /// Returns the time until the next tick: short while requests wait or under pressure.
     fn tick_period(&self) -> Duration {
         let is_under_pressure =
             self.overload.borrow().is_under_pressure() || self.phase() == RouterPhase::Shedding;
@@ -502,15 +499,15 @@
         self.dispatcher.borrow_mut().on_lag(now, lag);
         self.metrics.set_backing_off(self.dispatcher.borrow().backing_off(now));
         let max = self.settings.max_connections() as f64;
-        let turn = Tick {
+        let tick = Tick {
             period,
             lag,
             connections: self.open.count() as f64 / max,
             peers: self.dispatcher.borrow().peer_capacity(),
         };
-        let changed = self.overload.borrow_mut().on_tick(now, turn);
+        let changed = self.overload.borrow_mut().on_tick(now, tick);
         if let Some(shedding) = changed {
-            events::overload(shedding, self.overload.borrow().lateness(), turn);
+            events::overload(shedding, self.overload.borrow().lateness(), tick);
         }
         self.log_overflow(now);
     }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -269,7 +269,9 @@
         preferred_engines: preferred.0 as usize,
         preferred_engines_cheap: cheap.0 as usize,
         late_slack: section.or("late-slack", Amount(default.late_slack)).0,
-        locality_wait_fraction: section.or("locality-wait", Fraction(default.locality_wait_fraction)).0,
+        locality_wait_fraction: section
+            .or("locality-wait", Fraction(default.locality_wait_fraction))
+            .0,
         reserve_below_half: section
             .or("reserve-below-half", Fraction(default.reserve_below_half))
             .0,
--- a/crates/router/src/snapshot_serving.rs
+++ b/crates/router/src/snapshot_serving.rs
@@ -1,8 +1,7 @@
 //! Limits how many peers a router serves large snapshots to at a time.
 //!
-//! When a fleet starts, all routers ask the few that have the list of back ends. Served to all at
-//! once, the link is divided by hundreds and all finish last; a few at a time can soon serve
-//! others.
+//! When a fleet starts, all routers ask the few that have the list of back ends. Serving a few at a
+//! time lets these serve others soon; serving all at once would slow every transfer down.
 
 use mastbay_types::Timestamp;
 use std::cell::RefCell;
