--- a/crates/routing/src/decaying_counter.rs
+++ b/crates/routing/src/decaying_counter.rs
@@ -1,31 +1,31 @@
-//! Counts whose past fades.
+//! An event counter with exponential decay.
 
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// A number of events of which all but a part of 1/e is forgotten after `life`.
+/// Counts events; the count decays by a factor of e every `time_constant`.
 #[derive(Debug, Clone, Copy)]
 pub struct DecayingCounter {
-    life: Duration,
+    time_constant: Duration,
     count: f64,
-    moved: Timestamp,
+    updated_at: Timestamp,
 }
 
 impl DecayingCounter {
-    /// Nothing yet.
-    pub fn new(life: Duration) -> Self {
-        Self { life, count: 0.0, moved: Timestamp::ZERO }
+    /// Creates a counter at zero.
+    pub fn new(time_constant: Duration) -> Self {
+        Self { time_constant, count: 0.0, updated_at: Timestamp::ZERO }
     }
 
-    /// The count as it stands at `now`.
+    /// Returns the decayed count at `now`.
     pub fn at(&self, now: Timestamp) -> f64 {
-        let passed = now.since(self.moved).as_secs_f64() / self.life.as_secs_f64();
-        self.count * (-passed).exp()
+        let elapsed = now.since(self.updated_at).as_secs_f64() / self.time_constant.as_secs_f64();
+        self.count * (-elapsed).exp()
     }
 
-    /// Adds events.
+    /// Adds a number of events.
     pub fn add(&mut self, now: Timestamp, events: f64) {
         self.count = self.at(now) + events;
-        self.moved = now;
+        self.updated_at = now;
     }
 }
--- a/crates/routing/src/digest.rs
+++ b/crates/routing/src/digest.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other.
+//! Messages that routers send to each other.
 
 use crate::back_end::BackEndId;
 use crate::load_stats::LoadStats;
@@ -8,129 +8,130 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Names one life of a router.
+/// Identifies one incarnation of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PeerId {
-    /// Where it listens for digests.
+    /// Address on which the router receives peer messages.
     pub address: SocketAddr,
-    /// A random number drawn at its start.
+    /// Random number drawn when the process starts.
     pub incarnation: u64,
 }
 
-/// Whether a router takes new callers.
+/// Whether a router accepts new callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub enum RouterPhase {
-    /// It does.
+    /// Accepts new callers.
     #[default]
     Serving,
-    /// It has more to do than it can and sends new ones elsewhere.
+    /// Overloaded: directs new callers to other routers.
     Shedding,
-    /// It stops and takes no more work.
+    /// Shutting down: accepts no further work.
     Leaving,
 }
 
-/// A router as it tells of itself.
+/// The state that a router reports about itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouterState {
-    /// The router.
+    /// Identity of the router.
     pub id: PeerId,
-    /// Rises with every message of this life.
+    /// Message number; increases with every message of this incarnation.
     pub sequence: u64,
-    /// Where it hands out its configuration and back ends.
+    /// Address that serves snapshots of the router's configuration and back ends.
     pub snapshots: SocketAddr,
-    /// Its zone.
+    /// Zone that the router runs in.
     pub zone: String,
-    /// Whether it takes new callers.
+    /// Whether the router accepts new callers.
     pub phase: RouterPhase,
-    /// Its part of a processor core.
+    /// CPU share of the router, in cores.
     pub processor: f32,
-    /// What it knows of the source by its own calls.
+    /// Result of the router's own calls to the source.
     pub contact: SourceContact,
-    /// Version of the configuration that it has in force, 0 if none.
+    /// Version of the configuration in force, 0 if none.
     pub configuration: u64,
-    /// Revision of the back ends that it knows, the least if none.
+    /// Revision of the known back ends, the default revision if none.
     pub back_ends: Revision,
-    /// Revision of the evacuated zones that it knows, the least if none.
+    /// Revision of the known evacuated zones, the default revision if none.
     pub evacuations: Revision,
-    /// Revision of the orders for roll-outs that it knows, the least if none.
+    /// Revision of the known roll-out orders, the default revision if none.
     pub rollouts: Revision,
-    /// Routers that it knows of, itself included.
+    /// Number of routers known to this one, including itself.
     pub routers: u32,
 }
 
-/// One router's own state and figures.
+/// State and load statistics of a single router.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The sender.
+    /// State of the sender.
     pub router: RouterState,
-    /// Its figures; left out of heartbeats, which only tell that it lives.
+    /// Statistics of the sender; `None` in heartbeats, which only show that it is alive.
     pub stats: Option<LoadStats>,
     /// Whether the sender reports to the receiver as its aggregator.
     pub is_member: bool,
-    /// Digest addresses of further routers that it hears, in some digests.
+    /// Peer addresses of other routers known to the sender; empty in most digests.
     #[serde(with = "crate::address_list")]
     pub peers: Vec<SocketAddr>,
 }
 
-/// Whose figures a sum holds.
+/// Which routers' statistics a [`Sum`] covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SumScope {
-    /// Those of the sender and of the members that report to it: what aggregators tell each other.
+    /// The sending aggregator and the members that report to it; sent to other aggregators.
     Members,
-    /// Those of all routers: what an aggregator tells its members.
+    /// All routers of the fleet; sent by an aggregator to its members.
     Fleet,
 }
 
-/// A digest whose figures are part of a sum.
+/// Identifies a digest whose statistics are included in a [`Sum`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncludedDigest {
-    /// The life of the router that sent it.
+    /// Incarnation of the router that sent the digest.
     pub incarnation: u64,
-    /// Its sequence number.
+    /// Sequence number of the digest.
     pub sequence: u64,
 }
 
-/// Figures that an aggregator has added up.
+/// Statistics added up by an aggregator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sum {
-    /// The aggregator.
+    /// State of the aggregator.
     pub router: RouterState,
-    /// Whose figures these are.
+    /// Which routers' statistics are included.
     pub scope: SumScope,
-    /// Which part of the engines they are of, see [`crate::EngineKey::part`].
+    /// Index of the partition of engines that this message covers, see [`crate::EngineKey::part`].
     pub part: u32,
-    /// Parts that the engines are split into, so that each message fits a datagram.
+    /// Number of partitions; engines are partitioned to keep each message within one datagram.
     pub parts: u32,
-    /// The sums; those of tenants and services come with the first part.
+    /// The summed statistics; those of tenants and services are only in the first partition.
     pub stats: LoadStats,
-    /// Whether the last call of any router to the source was answered, as far as the aggregator hears.
+    /// Whether any router's last call to the source was answered, as known to the aggregator.
     pub source_answers: bool,
-    /// Routers that report to it and shed, itself included.
+    /// Number of routers in the aggregator's group that are shedding, including itself.
     pub shedding: u32,
-    /// The digests of members that the sums hold.
+    /// Digests of members that are included in the sums.
     pub included: Vec<IncludedDigest>,
 }
 
 /// A message between routers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A router's own state and figures.
+    /// State and statistics of a single router.
     Digest(Digest),
-    /// Sums of an aggregator.
+    /// Statistics added up by an aggregator.
     Sum(Sum),
-    /// Sums of an aggregator of another zone, which the receiver passes on as [`Self::Sum`] to the other aggregators of its own zone.
+    /// Sums from an aggregator of another zone, which the receiver relays as [`Self::Sum`] to the
+    /// other aggregators of its own zone.
     SumForZone(Sum),
-    /// Back ends that ended under requests.
+    /// Back ends that terminated while requests were in flight on them.
     Ends(Vec<TerminationReport>),
-    /// Back ends that said in answers that they end soon.
+    /// Back ends that announced in responses that they are shutting down.
     Draining(Vec<BackEndId>),
 }
 
-/// A message and who it goes to.
+/// A message with its recipients.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outgoing {
     /// The message.
     pub message: PeerMessage,
-    /// Digest addresses of those who get it.
+    /// Peer addresses of the recipients.
     pub targets: Vec<SocketAddr>,
 }
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -1,4 +1,5 @@
-//! One back end as a router sees it: its load from all routers, its pace, and what it has in memory.
+//! A router's view of one back end: its load from all routers, its service quality, and the prompt
+//! prefixes it is assumed to have cached.
 
 use crate::back_end::{BackEnd, BackEndState};
 use crate::concurrency::{ConcurrencyLimit, LimitSum};
@@ -15,19 +16,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What is under way at a back end.
+/// Requests in flight at a back end and the resources they take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// Number of requests.
     pub running: u32,
-    /// Those of them whose tenants were above their fair share when they were placed.
+    /// Number of requests whose tenants were above their fair share at placement.
     pub above_share: u32,
-    /// Prefill for them that is still pending.
+    /// Prefill work that is still pending.
     pub prefill: PrefillWork,
-    /// Memory that they take, in tokens.
+    /// Memory taken by the requests, in tokens.
     pub memory: u64,
-    /// Requests of tenants below half of their share that could not be placed there lately. Slots are left for
-    /// them by those that send for the largest tenants.
+    /// Decaying count of requests that could not be placed here although their tenants were below
+    /// half of their fair share. Slots are reserved for them.
     pub unplaced: u32,
 }
 
@@ -41,7 +42,7 @@
         self.unplaced += other.unplaced;
     }
 
-    /// Takes another load away.
+    /// Subtracts another load, saturating at zero.
     pub fn remove(&mut self, other: Load) {
         self.running = self.running.saturating_sub(other.running);
         self.above_share = self.above_share.saturating_sub(other.above_share);
@@ -51,64 +52,65 @@
     }
 }
 
-/// Time over which unplaced requests fade.
-const UNPLACED_LIFE: Duration = Duration::from_millis(700);
+/// Time constant with which the count of unplaced requests decays.
+const UNPLACED_TIME_CONSTANT: Duration = Duration::from_millis(700);
 
-/// Time for which a back end that ended gets nothing under the life that is over. Its entry goes or names a later life sooner; if it
-/// lives all the same, it gets work again.
-const ENDED_PAUSE: Duration = Duration::from_secs(10);
+/// Time for which a terminated incarnation receives no requests. Usually its entry is removed or
+/// replaced earlier; if it is alive after all, it receives requests again afterwards.
+const TERMINATED_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// Parts remembered for one back end.
-const MOST_PARTS: usize = 4_096;
-/// Parts older than this are taken as given way when room is needed in the memory of parts.
-const PART_LIFE: Duration = Duration::from_secs(30);
+/// Maximum number of prompt parts remembered for one back end.
+const MAX_PROMPT_PARTS: usize = 4_096;
+/// Age from which prompt parts are assumed to be evicted when the maximum is exceeded.
+const PROMPT_PART_TTL: Duration = Duration::from_secs(30);
 
-/// A back end's state.
+/// State of one back end as known to this router.
 #[derive(Debug)]
 pub struct Engine {
-    /// What its source tells of it.
+    /// Description from the source.
     pub back_end: BackEnd,
-    /// Its name in messages between routers.
+    /// Identifier in messages between routers.
     pub key: EngineKey,
-    /// What this router has there.
+    /// Load from this router.
     pub own: Load,
-    /// What other routers have there.
+    /// Load from all other routers.
     pub others: Load,
-    /// What exchanges tell of it.
+    /// Health as observed by this router's exchanges.
     pub health: Health,
-    /// Its time to first events over the time predicted, as a moving mean.
+    /// Moving average of observed over predicted time to the first event.
     pub latency_ratio: f64,
-    /// The concurrency limit that this router finds.
+    /// Concurrency limit estimated by this router.
     pub limit: ConcurrencyLimit,
-    /// What other routers found.
+    /// Concurrency limits estimated by other routers.
     peer_limits: LimitSum,
-    /// What tenants within their fair share met with here, over this router.
+    /// Outcomes for tenants within their fair share, over this router.
     service_level: ServiceLevel,
-    /// The same over the other routers.
-    others_level: ServiceLevelCounts,
+    /// Outcomes for tenants within their fair share, over the other routers.
+    peer_service_level: ServiceLevelCounts,
     unplaced: DecayingCounter,
-    parts: HashMap<u64, Timestamp>,
-    /// Whether it is cold, and what this router has sent there since.
+    /// Prompt parts sent here and the time of their last use.
+    prompt_parts: HashMap<u64, Timestamp>,
+    /// Whether the back end is cold, and the requests sent to it since.
     pub warmup: Warmup,
-    /// Whether its zone is evacuated.
+    /// Whether the zone of the back end is evacuated.
     pub is_evacuated: bool,
-    /// Its region, if that of its zone is known.
+    /// Region of the back end's zone, if known.
     pub region: Option<Arc<str>>,
-    /// When an event or an answer of it came last.
+    /// When the last event or answer arrived from it.
     pub last_response: Timestamp,
-    /// When this router learned that this life of it ended.
-    ended: Option<Timestamp>,
+    /// When this router learned that this incarnation terminated.
+    terminated_at: Option<Timestamp>,
 }
 
 impl Engine {
-    /// A back end that nothing is known of yet.
+    /// Creates the state of a newly listed back end.
     pub fn new(now: Timestamp, back_end: BackEnd) -> Self {
         Self {
             warmup: Warmup::of_new(now, back_end.cold_for),
             is_evacuated: false,
             region: None,
             last_response: Timestamp::ZERO,
-            ended: None,
+            terminated_at: None,
             key: EngineKey::from(&back_end.id),
             back_end,
             own: Load::default(),
@@ -118,13 +120,13 @@
             limit: ConcurrencyLimit::default(),
             peer_limits: LimitSum::default(),
             service_level: ServiceLevel::default(),
-            others_level: ServiceLevelCounts::default(),
-            unplaced: DecayingCounter::new(UNPLACED_LIFE),
-            parts: HashMap::new(),
+            peer_service_level: ServiceLevelCounts::default(),
+            unplaced: DecayingCounter::new(UNPLACED_TIME_CONSTANT),
+            prompt_parts: HashMap::new(),
         }
     }
 
-    /// The same back end as its source tells of it now.
+    /// Updates the description from the source.
     pub fn with(mut self, now: Timestamp, back_end: BackEnd) -> Self {
         if back_end.cold_for != self.back_end.cold_for {
             self.warmup.on_update(now, back_end.cold_for);
@@ -132,115 +134,115 @@
         Self { back_end, ..self }
     }
 
-    /// Whether it may be given anything new.
+    /// Returns whether the back end is ready and its zone is not evacuated.
     pub fn accepts_work(&self) -> bool {
         self.back_end.state == BackEndState::Ready && !self.is_evacuated
     }
 
-    /// This life of it ended, as this router or another found out.
+    /// Records that this incarnation terminated, as observed by this router or a peer.
     pub fn on_ended(&mut self, now: Timestamp) {
-        self.ended.get_or_insert(now);
+        self.terminated_at.get_or_insert(now);
     }
 
-    /// Whether it ended a short while ago, so that it is there under another life at best.
+    /// Returns whether this incarnation terminated recently.
     pub fn is_ended(&self, now: Timestamp) -> bool {
-        self.ended.is_some_and(|ended| now.since(ended) < ENDED_PAUSE)
+        self.terminated_at.is_some_and(|at| now.since(at) < TERMINATED_COOLDOWN)
     }
 
-    /// The load from all routers.
+    /// Returns the load from all routers.
     pub fn load(&self) -> Load {
         let mut load = self.own;
         load.add(self.others);
         load
     }
 
-    /// Other routers told what they have here.
+    /// Adds load reported by other routers.
     pub fn add_load(&mut self, load: Load) {
         self.others.add(load);
     }
 
-    /// What other routers told no longer counts.
+    /// Subtracts load reported by other routers that is outdated.
     pub fn remove_load(&mut self, load: Load) {
         self.others.remove(load);
     }
 
-    /// Other routers told how well it serves.
-    pub fn add_service_level(&mut self, told: &EngineServiceLevel) {
-        self.peer_limits.add(told.limits);
-        self.others_level.add(told.level);
+    /// Adds a service level reported by other routers.
+    pub fn add_service_level(&mut self, reported: &EngineServiceLevel) {
+        self.peer_limits.add(reported.limits);
+        self.peer_service_level.add(reported.level);
     }
 
-    /// What they told no longer counts.
-    pub fn remove_service_level(&mut self, told: &EngineServiceLevel) {
-        self.peer_limits.remove(told.limits);
-        self.others_level.remove(told.level);
+    /// Subtracts a service level reported by other routers that is outdated.
+    pub fn remove_service_level(&mut self, reported: &EngineServiceLevel) {
+        self.peer_limits.remove(reported.limits);
+        self.peer_service_level.remove(reported.level);
     }
 
-    /// The concurrency limit on which the routers agree: the mean of what they found.
+    /// Returns the concurrency limit in requests: the mean of the estimates of all routers.
     pub fn agreed_limit(&self, now: Timestamp) -> f64 {
         let slots = self.back_end.slots.max(1);
         let agreed = self.peer_limits.mean_with(self.limit.current(now));
         agreed.unwrap_or_else(|| ConcurrencyLimit::initial(slots))
     }
 
-    /// Prompt tokens that it has to read: those after the first part that it does not hold.
+    /// Returns the number of prompt tokens after the longest prefix assumed to be cached.
     pub fn uncached(&self, prompt: &Prompt) -> u64 {
-        let held = prompt.parts.iter().take_while(|part| self.parts.contains_key(&part.id));
+        let held = prompt.parts.iter().take_while(|part| self.prompt_parts.contains_key(&part.id));
         let cached: u64 = held.map(|part| u64::from(part.tokens)).sum();
         u64::from(prompt.input_tokens).saturating_sub(cached)
     }
 
-    /// It has been given a prompt.
+    /// Records that the back end has received a prompt and caches its parts.
     pub fn record_prompt(&mut self, prompt: &Prompt, now: Timestamp) {
         for part in &prompt.parts {
-            self.parts.insert(part.id, now);
+            self.prompt_parts.insert(part.id, now);
         }
-        if self.parts.len() > MOST_PARTS {
-            self.parts.retain(|_, used| now.since(*used) < PART_LIFE);
+        if self.prompt_parts.len() > MAX_PROMPT_PARTS {
+            self.prompt_parts.retain(|_, used| now.since(*used) < PROMPT_PART_TTL);
         }
-        if self.parts.len() > MOST_PARTS {
-            self.parts.clear();
+        if self.prompt_parts.len() > MAX_PROMPT_PARTS {
+            self.prompt_parts.clear();
         }
     }
 
-    /// A request of a tenant within its fair share was served in time here, or not.
+    /// Records whether a request of a tenant within its fair share was served in time.
     pub fn on_service(&mut self, now: Timestamp, in_time: bool) {
         self.service_level.on_request(now, in_time);
     }
 
-    /// The share of such requests that were not served in time, over all routers.
+    /// Returns the fraction of such requests that missed their objective, over all routers.
     pub fn miss_rate(&self, now: Timestamp) -> f64 {
         let mut counts = self.service_level.counts(now);
-        counts.add(self.others_level);
+        counts.add(self.peer_service_level);
         counts.miss_rate()
     }
 
-    /// A request of a tenant below half of its share could not be placed here.
+    /// Records that a request of a tenant below half of its fair share could not be placed here.
     pub fn on_unplaced(&mut self, now: Timestamp) {
         self.unplaced.add(now, 1.0);
     }
 
-    /// What this router has here, as it tells others.
+    /// Returns the load from this router, as reported to peers.
     pub fn own_load(&self, now: Timestamp) -> EngineLoad {
         let load = Load { unplaced: self.unplaced.at(now).round() as u32, ..self.own };
         EngineLoad { engine: self.key, load }
     }
 
-    /// How well this router is served here, if it has seen anything lately.
+    /// Returns the service level observed by this router, or `None` without recent observations.
     pub fn own_service_level(&self, now: Timestamp) -> Option<EngineServiceLevel> {
         let limits = LimitSum::of(self.limit.current(now));
         let level = self.service_level.counts(now);
-        let tells_anything = !limits.is_empty() || level != ServiceLevelCounts::default();
-        tells_anything.then_some(EngineServiceLevel { engine: self.key, limits, level })
+        let has_observations = !limits.is_empty() || level != ServiceLevelCounts::default();
+        has_observations.then_some(EngineServiceLevel { engine: self.key, limits, level })
     }
 
-    /// Whether there is anything that this router tells others of it.
+    /// Returns whether this router has a load or service level to report.
     pub fn has_own_stats(&self, now: Timestamp) -> bool {
         self.own_load(now).load != Load::default() || self.own_service_level(now).is_some()
     }
 
-    /// It has lost its memory.
+    /// Forgets the cached prompt parts, after the back end has lost its memory.
     pub fn clear_prompt_parts(&mut self) {
-        self.parts.clear();
+        self.prompt_parts.clear();
     }
 }
--- a/crates/routing/src/first_event.rs
+++ b/crates/routing/src/first_event.rs
@@ -1,24 +1,24 @@
-//! The time to the first event of a request, estimated from the prefill that its engine has to do before it.
+//! Estimates the time to the first event of a request from the prefill work ahead of it.
 //!
-//! Prefilling a token takes a fixed time for its weights and a time for attention to every token before it,
-//! so a prompt of ten times the length takes more than ten times as long. The estimate is a weighted least
-//! squares fit of three coefficients (a fixed time, one per token, one per pair of tokens) whose
-//! observations fade.
+//! Prefilling a token takes constant time for the weights plus time for attention to every previous
+//! token, so the total grows faster than linearly with the prompt. The estimate is a weighted least
+//! squares fit of three coefficients (a constant, one per token, one per pair of tokens) with
+//! exponential forgetting.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Prefill that an engine has to do.
+/// Prefill work of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct PrefillWork {
-    /// Prompt tokens.
+    /// Number of prompt tokens to prefill.
     pub tokens: u64,
     /// Pairs of a prefilled token and a token before it, in thousands.
     pub kilopairs: u64,
 }
 
 impl PrefillWork {
-    /// The work of a prompt whose first `cached` tokens are held and whose next `uncached` ones are not.
+    /// Computes the work for a prompt of `cached` tokens followed by `uncached` ones.
     pub fn of_prompt(cached: u64, uncached: u64) -> Self {
         let kilopairs = uncached * (cached + uncached / 2) / 1_000;
         Self { tokens: uncached, kilopairs }
@@ -30,19 +30,19 @@
         self.kilopairs += other.kilopairs;
     }
 
-    /// Takes other work away.
+    /// Subtracts other work, saturating at zero.
     pub fn remove(&mut self, other: Self) {
         self.tokens = self.tokens.saturating_sub(other.tokens);
         self.kilopairs = self.kilopairs.saturating_sub(other.kilopairs);
     }
 
-    /// This and other work.
+    /// Returns the sum of this and other work.
     pub fn plus(mut self, other: Self) -> Self {
         self.add(other);
         self
     }
 
-    /// The regressors: a constant, tokens and pairs, scaled to about the same size.
+    /// Returns the regressors: a constant, tokens and pairs, scaled to similar magnitudes.
     fn features(self) -> [f64; FEATURES] {
         [1.0, self.tokens as f64 / TOKENS_SCALE, self.kilopairs as f64 / KILOPAIRS_SCALE]
     }
@@ -52,39 +52,39 @@
 const TOKENS_SCALE: f64 = 10_000.0;
 const KILOPAIRS_SCALE: f64 = 200_000.0;
 
-/// Part of the weight of earlier observations that each new one leaves: 200 are remembered.
-const MEMORY: f64 = 0.995;
-/// Observations that each point of the first guess weighs as much as.
-const GUESS_WEIGHT: f64 = 12.0;
-/// First guess, until observations outweigh it: 40 ms and 83 tokens a millisecond.
-const GUESS: [(PrefillWork, f64); 2] = [
+/// Factor by which each observation reduces the weight of earlier ones.
+const FORGETTING_FACTOR: f64 = 0.995;
+/// Weight of each point of the prior, in observations.
+const PRIOR_WEIGHT: f64 = 12.0;
+/// Prior points, in milliseconds: 40 ms and 83 tokens a millisecond.
+const PRIOR: [(PrefillWork, f64); 2] = [
     (PrefillWork { tokens: 0, kilopairs: 0 }, 40.0),
     (PrefillWork { tokens: 10_000, kilopairs: 0 }, 160.0),
 ];
-/// Weight that holds the coefficient of pairs near zero where observations do not tell it from that of
-/// tokens, as long as all prompts are of about one length.
+/// Ridge penalty on the coefficient of pairs. Keeps it near zero while prompts of similar length
+/// don't distinguish it from that of tokens.
 const PAIRS_RIDGE: f64 = 0.05;
-/// Bounds on the fixed time in milliseconds.
-const FIXED_BOUNDS: Bounds = Bounds { least: 2.0, most: 400.0 };
+/// Bounds on the constant, in milliseconds.
+const CONSTANT_BOUNDS: Bounds = Bounds { min: 2.0, max: 400.0 };
 /// Bounds on the time per token, in milliseconds: 5 to 2,000 tokens a millisecond.
-const TOKEN_BOUNDS: Bounds = Bounds { least: 0.000_5, most: 0.2 };
+const TOKEN_BOUNDS: Bounds = Bounds { min: 0.000_5, max: 0.2 };
 /// Bounds on the time per thousand pairs, in milliseconds: at most 1 ms for a million pairs.
-const KILOPAIR_BOUNDS: Bounds = Bounds { least: 0.0, most: 0.001 };
-/// An observation counts as at most this many times the estimate and this many milliseconds more: a flood
-/// that routers could not yet see says little about the engine.
-const MOST_RATIO: f64 = 1.5;
-const MOST_EXCESS_MS: f64 = 40.0;
+const KILOPAIR_BOUNDS: Bounds = Bounds { min: 0.0, max: 0.001 };
+/// Observations are capped at this multiple of the estimate plus [`MAX_EXCESS_MS`]. Longer ones are
+/// due to load that the router did not know of yet.
+const MAX_RATIO: f64 = 1.5;
+const MAX_EXCESS_MS: f64 = 40.0;
 
-/// A range of believed values.
+/// Range of plausible values.
 #[derive(Debug, Clone, Copy)]
 struct Bounds {
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
 impl Bounds {
     fn clamp(self, value: f64) -> f64 {
-        value.clamp(self.least, self.most)
+        value.clamp(self.min, self.max)
     }
 
     fn excludes(self, value: f64) -> bool {
@@ -92,17 +92,18 @@
     }
 
     fn scaled(self, scale: f64) -> Self {
-        Self { least: self.least * scale, most: self.most * scale }
+        Self { min: self.min * scale, max: self.max * scale }
     }
 }
 
 /// Estimates the time to the first event at the engines of one service.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstEventEstimator {
-    /// Weighted sums of products of regressors, and of regressors with the time in milliseconds.
+    /// Weighted sums of products of regressors.
     products: [[f64; FEATURES]; FEATURES],
+    /// Weighted sums of products of a regressor and the time in milliseconds.
     with_time: [f64; FEATURES],
-    /// Milliseconds for each regressor.
+    /// Milliseconds per unit of each regressor.
     coefficients: [f64; FEATURES],
 }
 
@@ -113,8 +114,8 @@
             with_time: [0.0; FEATURES],
             coefficients: [0.0; FEATURES],
         };
-        for (work, time) in GUESS {
-            estimator.add(work, time, GUESS_WEIGHT);
+        for (work, time) in PRIOR {
+            estimator.add(work, time, PRIOR_WEIGHT);
         }
         estimator.fit();
         estimator
@@ -122,19 +123,19 @@
 }
 
 impl FirstEventEstimator {
-    /// The first event came `taken` after `work` was ahead of it.
-    pub fn observe(&mut self, work: PrefillWork, taken: Duration) {
-        let most = self.estimate(work) * MOST_RATIO + MOST_EXCESS_MS;
-        let taken = (taken.as_secs_f64() * 1e3).min(most);
+    /// Records that the first event arrived `elapsed` after `work` was ahead of it.
+    pub fn observe(&mut self, work: PrefillWork, elapsed: Duration) {
+        let max = self.estimate(work) * MAX_RATIO + MAX_EXCESS_MS;
+        let elapsed = (elapsed.as_secs_f64() * 1e3).min(max);
         for row in &mut self.products {
-            row.iter_mut().for_each(|sum| *sum *= MEMORY);
+            row.iter_mut().for_each(|sum| *sum *= FORGETTING_FACTOR);
         }
-        self.with_time.iter_mut().for_each(|sum| *sum *= MEMORY);
-        self.add(work, taken, 1.0);
+        self.with_time.iter_mut().for_each(|sum| *sum *= FORGETTING_FACTOR);
+        self.add(work, elapsed, 1.0);
         self.fit();
     }
 
-    /// The estimated time to the first event in milliseconds.
+    /// Returns the estimated time to the first event in milliseconds.
     pub fn estimate(&self, work: PrefillWork) -> f64 {
         let features = work.features();
         self.coefficients.iter().zip(features).map(|(each, feature)| each * feature).sum()
@@ -152,33 +153,34 @@
         }
     }
 
-    /// Fits the coefficients. One that leaves its bounds is held there and the others are fitted again.
+    /// Fits the coefficients. One outside its bounds is fixed at the bound, and the others are
+    /// fitted again.
     fn fit(&mut self) {
         let bounds = [
-            FIXED_BOUNDS,
+            CONSTANT_BOUNDS,
             TOKEN_BOUNDS.scaled(TOKENS_SCALE),
             KILOPAIR_BOUNDS.scaled(KILOPAIRS_SCALE),
         ];
-        let mut held: [Option<f64>; FEATURES] = [None; FEATURES];
-        // The pairs are held first: they are the least certain.
+        let mut fixed: [Option<f64>; FEATURES] = [None; FEATURES];
+        // Starts with the pairs, whose coefficient is the least certain.
         for feature in (0..FEATURES).rev() {
-            let solved = self.solve(&held);
+            let solved = self.solve(&fixed);
             if bounds[feature].excludes(solved[feature]) {
-                held[feature] = Some(bounds[feature].clamp(solved[feature]));
+                fixed[feature] = Some(bounds[feature].clamp(solved[feature]));
             }
         }
-        let mut solved = self.solve(&held);
+        let mut solved = self.solve(&fixed);
         for (value, bounds) in solved.iter_mut().zip(bounds) {
             *value = bounds.clamp(*value);
         }
         self.coefficients = solved;
     }
 
-    /// Solves the normal equations with some coefficients held.
-    fn solve(&self, held: &[Option<f64>; FEATURES]) -> [f64; FEATURES] {
+    /// Solves the normal equations with some coefficients fixed.
+    fn solve(&self, fixed: &[Option<f64>; FEATURES]) -> [f64; FEATURES] {
         let mut rows = [[0.0; FEATURES + 1]; FEATURES];
         for (index, row) in rows.iter_mut().enumerate() {
-            match held[index] {
+            match fixed[index] {
                 Some(value) => {
                     row[index] = 1.0;
                     row[FEATURES] = value;
@@ -197,8 +199,8 @@
     }
 }
 
-/// Gauss-Jordan elimination. The matrix is positive definite or has unit rows, so no pivoting is needed; a
-/// pivot too small to divide by leaves its unknown at zero.
+/// Performs Gauss-Jordan elimination. The matrix is positive definite or has unit rows, so no
+/// pivoting is needed; a pivot too small to divide by sets its unknown to zero.
 fn eliminate(rows: &mut [[f64; FEATURES + 1]; FEATURES]) {
     for pivot in 0..FEATURES {
         let divisor = rows[pivot][pivot];
--- a/crates/routing/src/load_stats.rs
+++ b/crates/routing/src/load_stats.rs
@@ -1,8 +1,8 @@
-//! Figures that routers add up over the fleet: what they have at engines, what tenants ask of them, and the
-//! paces that they observed.
+//! Load statistics that are summed over the fleet: in-flight load per engine, request rates per
+//! tenant, and observed event intervals per service.
 //!
-//! All figures are absolute, so that a lost or repeated message does no harm. Those that change slowly are
-//! left out of most messages; the last ones told hold on.
+//! All values are absolute, which makes lost and repeated messages harmless. Slowly changing values
+//! are omitted from most messages; the last reported ones stay in effect.
 
 use crate::back_end::BackEndId;
 use crate::concurrency::LimitSum;
@@ -15,17 +15,17 @@
 use std::collections::{BTreeMap, HashMap};
 use std::str::FromStr;
 
-/// Names a life of an engine in messages between routers: a hash of its id, which takes fewer bytes and is compared
-/// faster. Of a thousand engines two share a hash once in ten thousand lists; their figures are then added up.
+/// Identifies an incarnation of an engine in messages between routers: a 32-bit hash of its id,
+/// which is smaller and faster to compare. The loads of engines with colliding hashes are added up.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Display,
 )]
 #[display("{_0:08x}")]
 pub struct EngineKey(u32);
 
-/// A text names no engine: it is no number of up to eight hexadecimal digits.
+/// Error for a string that is not a number of up to eight hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("an engine is named by up to eight hexadecimal digits")]
+#[display("an engine key is a number of up to eight hexadecimal digits")]
 pub struct ParseEngineKeyError;
 
 impl FromStr for EngineKey {
@@ -46,83 +46,83 @@
 }
 
 impl EngineKey {
-    /// The hash, for further hashing.
+    /// Returns the hash in big-endian order, as input to further hashing.
     pub fn to_bytes(self) -> [u8; 4] {
         self.0.to_be_bytes()
     }
 
-    /// The part that the engine belongs to where all are split into `parts`.
+    /// Returns the partition that the engine belongs to when engines are split into `parts`.
     pub fn part(self, parts: u32) -> u32 {
         self.0 % parts.max(1)
     }
 }
 
-/// What routers have at one engine.
+/// Load that one or several routers have at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// The engine.
     pub engine: EngineKey,
-    /// What the routers have there.
+    /// Requests in flight there and the resources they take.
     pub load: Load,
 }
 
-/// How well an engine serves, as routers observed it.
+/// Service quality of an engine as observed by routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineServiceLevel {
     /// The engine.
     pub engine: EngineKey,
-    /// The concurrency limits that the routers found.
+    /// Concurrency limits estimated by the routers.
     pub limits: LimitSum,
-    /// What tenants within their fair share met with there lately.
+    /// Recent request outcomes of tenants within their fair share.
     pub level: ServiceLevelCounts,
 }
 
-/// The time between events of a service's engines without load.
+/// Time between streamed events of an unloaded engine of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceEventInterval {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Least time between two events that was observed, in microseconds.
+    /// Shortest observed time between two events, in microseconds.
     pub unloaded_micros: u32,
 }
 
-/// What a tenant asks of routers.
+/// Request rates of one tenant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TenantReport {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub name: String,
-    /// Service asked for, in tokens a second.
+    /// Requested service, in tokens a second.
     pub asked: f32,
-    /// Service given, in tokens a second.
+    /// Granted service, in tokens a second.
     pub given: f32,
 }
 
-/// The figures of one router, or the sums over several.
+/// Load statistics of one router, or the sums over several.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LoadStats {
-    /// What they have at engines; nothing at those that are not listed.
+    /// Load at engines; zero at those that are not listed.
     pub loads: Vec<EngineLoad>,
-    /// How well engines serve; left out where the last ones told hold on.
+    /// Service levels of engines; `None` if the last reported ones still apply.
     pub service_levels: Option<Vec<EngineServiceLevel>>,
-    /// What tenants ask of them, by name; left out where the last ones told hold on.
+    /// Request rates of tenants, sorted by name; `None` if the last reported ones still apply.
     pub tenants: Option<Vec<TenantReport>>,
-    /// Newer rates of the tenants that ask for most, where those of the others are left out.
+    /// Updated rates of the tenants with the highest demand, in messages without the full list.
     pub heaviest: Vec<TenantReport>,
-    /// The paces of services that they observed; left out where the last ones told hold on.
+    /// Event intervals of services; `None` if the last reported ones still apply.
     pub event_intervals: Option<Vec<ServiceEventInterval>>,
-    /// What they counted of roll-outs.
+    /// Answer counts of roll-outs.
     pub releases: Vec<ReleaseReport>,
 }
 
 impl LoadStats {
-    /// Takes newer figures; what they leave out holds on. Gives what they replace.
+    /// Applies newer statistics, keeping what they omit, and returns the replaced values.
     pub fn replace(&mut self, newer: Self) -> Self {
         let replaced = Self {
             loads: std::mem::replace(&mut self.loads, newer.loads),
-            service_levels: take_newer(&mut self.service_levels, newer.service_levels),
-            tenants: take_newer(&mut self.tenants, newer.tenants),
+            service_levels: replace_if_some(&mut self.service_levels, newer.service_levels),
+            tenants: replace_if_some(&mut self.tenants, newer.tenants),
             heaviest: Vec::new(),
-            event_intervals: take_newer(&mut self.event_intervals, newer.event_intervals),
+            event_intervals: replace_if_some(&mut self.event_intervals, newer.event_intervals),
             releases: std::mem::replace(&mut self.releases, newer.releases),
         };
         self.update_tenants(newer.heaviest);
@@ -142,12 +142,12 @@
         }
     }
 
-    /// Whether they tell any tenant's rates.
+    /// Returns whether request rates of any tenant are included.
     pub fn has_tenant_rates(&self) -> bool {
         self.tenants.is_some() || !self.heaviest.is_empty()
     }
 
-    /// These figures with the rates of only the `count` tenants that ask for most.
+    /// Reduces the tenant rates to those of the `count` tenants with the highest demand.
     pub fn with_heaviest_tenants(mut self, count: usize) -> Self {
         let mut tenants = self.tenants.take().unwrap_or_default();
         tenants.sort_by(|left, right| right.asked.total_cmp(&left.asked));
@@ -156,12 +156,12 @@
         self
     }
 
-    /// Engines of which they tell.
+    /// Returns the number of engine entries, for sizing messages.
     pub fn engine_count(&self) -> usize {
         self.loads.len().max(self.service_levels.as_ref().map_or(0, Vec::len))
     }
 
-    /// These figures split by engine; those of tenants and services stay with the first part.
+    /// Partitions the statistics by engine; those of tenants and services are in the first part.
     pub fn split(self, parts: u32) -> Vec<Self> {
         if parts <= 1 {
             return vec![self];
@@ -173,12 +173,8 @@
                 .copied()
                 .filter(|entry| entry.engine.part(parts) == part)
                 .collect(),
-            service_levels: self.service_levels.as_ref().map(|service_levels| {
-                service_levels
-                    .iter()
-                    .copied()
-                    .filter(|entry| entry.engine.part(parts) == part)
-                    .collect()
+            service_levels: self.service_levels.as_ref().map(|levels| {
+                levels.iter().copied().filter(|entry| entry.engine.part(parts) == part).collect()
             }),
             tenants: self.tenants.clone().filter(|_| part == 0),
             heaviest: if part == 0 { self.heaviest.clone() } else { Vec::new() },
@@ -188,7 +184,7 @@
         (0..parts).map(of_part).collect()
     }
 
-    /// These figures without `loads` that are part of them.
+    /// Subtracts `loads`, which were previously added to these statistics.
     pub fn without_loads(mut self, loads: &[EngineLoad]) -> Self {
         let removed: HashMap<EngineKey, Load> =
             loads.iter().map(|entry| (entry.engine, entry.load)).collect();
@@ -202,49 +198,49 @@
     }
 }
 
-/// Puts a newer value in place, if there is one, and gives the one that it replaces.
-fn take_newer<T>(held: &mut Option<T>, newer: Option<T>) -> Option<T> {
+/// Replaces a value if there is a newer one, and returns the replaced value.
+fn replace_if_some<T>(held: &mut Option<T>, newer: Option<T>) -> Option<T> {
     newer.and_then(|newer| held.replace(newer))
 }
 
-/// Adds up figures.
+/// Accumulates the load statistics of several routers.
 #[derive(Debug, Clone, Default)]
 pub struct LoadStatsSum {
     loads: BTreeMap<EngineKey, Load>,
     service_levels: BTreeMap<EngineKey, (LimitSum, ServiceLevelCounts)>,
-    /// Rates asked and given.
+    /// Requested and granted rates by tenant.
     tenants: BTreeMap<String, (f32, f32)>,
     event_intervals: BTreeMap<String, u32>,
-    /// Counts by order and route.
+    /// Answer counts by order and route.
     releases: BTreeMap<(u32, u32), ReleaseCounts>,
 }
 
 impl LoadStatsSum {
-    /// Adds what one more router, or several, have at engines.
+    /// Adds the loads at engines.
     pub fn add_loads(&mut self, stats: &LoadStats) {
         for entry in &stats.loads {
             self.loads.entry(entry.engine).or_default().add(entry.load);
         }
     }
 
-    /// Adds what one more router, or several, counted of roll-outs.
+    /// Adds the answer counts of roll-outs.
     pub fn add_releases(&mut self, stats: &LoadStats) {
         stats.releases.iter().for_each(|report| self.add_release(report));
     }
 
-    /// Adds one count.
+    /// Adds the answer counts of one roll-out on one route.
     pub fn add_release(&mut self, report: &ReleaseReport) {
         self.releases.entry((report.order, report.route)).or_default().add(report.counts);
     }
 
-    /// The counts of roll-outs that were added.
+    /// Returns the summed answer counts of roll-outs.
     pub fn release_reports(&self) -> Vec<ReleaseReport> {
         let releases = self.releases.iter();
         let report = |(&(order, route), &counts)| ReleaseReport { order, route, counts };
         releases.map(report).collect()
     }
 
-    /// Adds what tenants ask of one more router, or of several.
+    /// Adds the request rates of tenants.
     pub fn add_rates(&mut self, stats: &LoadStats) {
         for tenant in stats.tenants.iter().flatten() {
             match self.tenants.get_mut(&tenant.name) {
@@ -259,36 +255,36 @@
         }
     }
 
-    /// Adds those figures of one more router, or of several, that change slowly.
+    /// Adds the slowly changing values: service levels and event intervals.
     pub fn add_slow_changing(&mut self, stats: &LoadStats) {
         for entry in stats.service_levels.iter().flatten() {
             let (limits, level) = self.service_levels.entry(entry.engine).or_default();
             limits.add(entry.limits);
             level.add(entry.level);
         }
-        for pace in stats.event_intervals.iter().flatten() {
-            let least = self.event_intervals.entry(pace.service.clone()).or_insert(u32::MAX);
-            *least = pace.unloaded_micros.min(*least);
+        for interval in stats.event_intervals.iter().flatten() {
+            let shortest = self.event_intervals.entry(interval.service.clone()).or_insert(u32::MAX);
+            *shortest = interval.unloaded_micros.min(*shortest);
         }
     }
 
-    /// The sums, all of them or only loads and rates.
-    pub fn into_stats(self, with_slow_ones: bool) -> LoadStats {
+    /// Returns the sums, with or without service levels and event intervals.
+    pub fn into_stats(self, with_slow_changing: bool) -> LoadStats {
         let releases = self.release_reports();
         let loads = self.loads.into_iter().map(|(engine, load)| EngineLoad { engine, load });
         let loads = loads.collect();
         let tenants = self.tenants.into_iter();
         let tenants =
             tenants.map(|(name, (asked, given))| TenantReport { name, asked, given }).collect();
-        if !with_slow_ones {
+        if !with_slow_changing {
             return LoadStats { loads, tenants: Some(tenants), releases, ..LoadStats::default() };
         }
-        let service_levels = self.service_levels.into_iter();
-        let service_levels = service_levels
+        let levels = self.service_levels.into_iter();
+        let service_levels = levels
             .map(|(engine, (limits, level))| EngineServiceLevel { engine, limits, level })
             .collect();
-        let event_intervals = self.event_intervals.into_iter();
-        let event_intervals = event_intervals
+        let intervals = self.event_intervals.into_iter();
+        let event_intervals = intervals
             .map(|(service, unloaded_micros)| ServiceEventInterval { service, unloaded_micros })
             .collect();
         LoadStats {
--- a/crates/routing/src/shares.rs
+++ b/crates/routing/src/shares.rs
@@ -1,4 +1,4 @@
-//! What tenants ask for and are given, and the fair level that follows from it.
+//! Request rates of tenants, and max-min fair sharing of capacity among them.
 
 use crate::decaying_counter::DecayingCounter;
 use crate::load_stats::TenantReport;
@@ -7,14 +7,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Rates under this are forgotten, in tokens a second.
-const FORGOTTEN_RATE: f64 = 1.0;
+/// Rate below which a tenant is dropped, in tokens a second.
+const MIN_RATE: f64 = 1.0;
 
-/// Time for which an account is at least taken to be kept: rates over less are mostly chance. A few dozen
-/// requests reach a router in it at the load of the deployments.
-const LEAST_KEPT: Duration = Duration::from_millis(300);
+/// Minimum time that rates are computed over. Rates over shorter times are mostly noise.
+const MIN_ELAPSED: Duration = Duration::from_millis(300);
 
-/// Tokens that one tenant asked for and was given.
+/// Tokens that one tenant requested and was granted.
 #[derive(Debug, Clone, Copy)]
 struct TenantUsage {
     asked: DecayingCounter,
@@ -26,38 +25,39 @@
         Self { asked: DecayingCounter::new(window), given: DecayingCounter::new(window) }
     }
 
-    /// The rates at `now`, in tokens a second. What a window holds that is not full yet is divided by the part that is, so
-    /// that a router that has just started doesn't tell too little.
-    fn rates(&self, now: Timestamp, window: Duration, kept: Duration) -> (f64, f64) {
+    /// Returns the requested and granted rates at `now`, in tokens a second. They are corrected for
+    /// a window that is not full yet, so that a router that has just started doesn't report too low
+    /// rates.
+    fn rates(&self, now: Timestamp, window: Duration, elapsed: Duration) -> (f64, f64) {
         let window = window.as_secs_f64();
-        let kept = kept.max(LEAST_KEPT).as_secs_f64() / window;
-        let full = window * (1.0 - (-kept).exp());
+        let elapsed = elapsed.max(MIN_ELAPSED).as_secs_f64() / window;
+        let full = window * (1.0 - (-elapsed).exp());
         (self.asked.at(now) / full, self.given.at(now) / full)
     }
 }
 
-/// One router's account of its tenants.
+/// Usage of this router by tenant.
 #[derive(Debug)]
 pub struct Usage {
     window: Duration,
-    /// When the first tenant asked for anything.
+    /// When the first tenant requested anything.
     began: Option<Timestamp>,
     tenants: HashMap<Arc<str>, TenantUsage>,
 }
 
 impl Usage {
-    /// An empty account over `window`.
+    /// Creates an empty account; `window` is the time constant of the rates.
     pub fn new(window: Duration) -> Self {
         Self { window, began: None, tenants: HashMap::new() }
     }
 
-    /// A tenant asks for `cost` tokens of service.
+    /// Records that a tenant requests `cost` tokens of service.
     pub fn on_asked(&mut self, now: Timestamp, tenant: &Arc<str>, cost: u64) {
         self.began.get_or_insert(now);
         self.usage_of(tenant).asked.add(now, cost as f64);
     }
 
-    /// A tenant is given `cost` tokens of service.
+    /// Records that a tenant is granted `cost` tokens of service.
     pub fn on_given(&mut self, now: Timestamp, tenant: &Arc<str>, cost: u64) {
         self.usage_of(tenant).given.add(now, cost as f64);
     }
@@ -67,16 +67,16 @@
         self.tenants.entry(tenant.clone()).or_insert_with(|| TenantUsage::new(window))
     }
 
-    /// The rates of all tenants that ask for anything or are given it, by name; the others are forgotten.
+    /// Returns the rates of all active tenants, sorted by name, and drops inactive ones.
     pub fn reports(&mut self, now: Timestamp) -> Vec<TenantReport> {
         let window = self.window;
-        let kept = self.began.map_or(Duration::ZERO, |began| now.since(began));
+        let elapsed = self.began.map_or(Duration::ZERO, |began| now.since(began));
         self.tenants.retain(|_, usage| {
-            let (asked, given) = usage.rates(now, window, kept);
-            asked.max(given) >= FORGOTTEN_RATE
+            let (asked, given) = usage.rates(now, window, elapsed);
+            asked.max(given) >= MIN_RATE
         });
         let reports = self.tenants.iter().map(|(name, usage)| {
-            let (asked, given) = usage.rates(now, window, kept);
+            let (asked, given) = usage.rates(now, window, elapsed);
             TenantReport { name: name.to_string(), asked: asked as f32, given: given as f32 }
         });
         let mut reports: Vec<TenantReport> = reports.collect();
@@ -85,8 +85,8 @@
     }
 }
 
-/// The most that one of several demands is given when `capacity` is shared max-min fairly; infinite
-/// when all demands can be met.
+/// Returns the maximum granted to any demand when `capacity` is shared max-min fairly; infinity if
+/// all demands can be met. Sorts `demands`.
 pub fn water_level(demands: &mut [f64], capacity: f64) -> f64 {
     demands.sort_by(f64::total_cmp);
     let mut left = capacity;
--- a/crates/routing/src/waiting.rs
+++ b/crates/routing/src/waiting.rs
@@ -1,40 +1,40 @@
-//! Requests that wait in a router until a back end has room.
+//! Queues of requests that wait until a back end has capacity.
 
 use crate::dispatch::{Demand, TicketId};
 use mastbay_types::Timestamp;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug)]
 pub struct Waiter {
-    /// Its ticket.
+    /// Ticket of the request.
     pub ticket: TicketId,
-    /// What it asks for.
+    /// What the request needs.
     pub demand: Demand,
-    /// When it is given up.
+    /// When it stops waiting.
     pub until: Timestamp,
 }
 
-/// The place of a waiter in the order; less goes first.
+/// Sort key of a waiter; the lowest is placed first.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct WaitingOrder {
-    /// Rank of its tenant or route.
+    /// Priority of its tenant or route.
     pub priority: u32,
-    /// Whether its tenant has more than the fair level.
+    /// Whether its tenant is above the fair level.
     pub over_share: bool,
-    /// What its tenant is given, in tokens a second.
+    /// Rate granted to its tenant, in tokens a second.
     pub given: f64,
-    /// Its ticket, which rises with time.
+    /// Number of its ticket, which increases with time.
     pub ticket: u64,
 }
 
-/// The waiters of one service.
+/// Waiters of one service.
 #[derive(Debug, Default)]
 pub struct WaitingQueue {
     waiters: Vec<Waiter>,
 }
 
 impl WaitingQueue {
-    /// Number of waiters.
+    /// Returns the number of waiters.
     pub fn len(&self) -> usize {
         self.waiters.len()
     }
@@ -44,13 +44,13 @@
         self.waiters.push(waiter);
     }
 
-    /// Takes a waiter out by its ticket.
+    /// Removes a waiter by its ticket.
     pub fn remove(&mut self, ticket: TicketId) -> Option<Waiter> {
         let index = self.waiters.iter().position(|waiter| waiter.ticket == ticket)?;
         Some(self.waiters.swap_remove(index))
     }
 
-    /// Takes out those whose time is over.
+    /// Removes and returns the waiters whose time is over.
     pub fn take_expired(&mut self, now: Timestamp) -> Vec<Waiter> {
         let (expired, waiting) =
             std::mem::take(&mut self.waiters).into_iter().partition(|waiter| waiter.until <= now);
@@ -58,7 +58,7 @@
         expired
     }
 
-    /// Takes out the waiters, in the order in which they are let in.
+    /// Removes and returns all waiters, sorted by `order`.
     pub fn take_in_order(&mut self, order: impl Fn(&Waiter) -> WaitingOrder) -> Vec<Waiter> {
         let mut ordered: Vec<(WaitingOrder, Waiter)> =
             self.waiters.drain(..).map(|waiter| (order(&waiter), waiter)).collect();
--- a/crates/routing/src/warmup.rs
+++ b/crates/routing/src/warmup.rs
@@ -1,30 +1,28 @@
-//! How fast the fleet may send to a cold back end.
+//! Limits the request rate that the fleet sends to a cold back end.
 //!
-//! A back end that has just started, or that turned cold again, bears only so many requests a second and falls over
-//! well above that, whoever sends them. A few routers, the first in rendezvous order, hold the whole allowance; the
-//! others send nothing there until it is warm. Routers that see different members for a while take each other's
-//! places, so each holder's part leaves a margin for further ones.
+//! A back end that has just started or turned cold again sustains only a limited request rate. A
+//! few routers, the first in rendezvous order, share this allowance; the others send no requests
+//! until it is warm. While views of the fleet differ, further routers may take themselves for
+//! holders, which a margin covers.
 
 use mastbay_types::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The time that the allowance speaks of.
+/// Window over which the allowance applies.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Routers that hold the allowance of a cold back end. When all of 62 could send, up to 39 requests arrived in one
-/// second where 32 are allowed, counted at the engine; with these, none over 32 in 31 plays of such a fleet.
-const HOLDERS: u32 = 5;
-/// How many times the requests of all holders the allowance is: it also covers what is sent by routers that believe
-/// to be holders, and by those that have not heard yet that the back end is cold.
-/// Found by playing kills, cuts and lost messages of 8 to 295 routers in virtual time.
+/// Maximum number of routers that share the allowance of a cold back end.
+const MAX_HOLDERS: u32 = 5;
+/// Ratio of the allowance to the sum of the holders' quotas. The rest covers routers that wrongly
+/// take themselves for holders or do not know yet that the back end is cold.
 const MARGIN: f64 = 1.6;
 
-/// How far above a cold back end's rate the fleet may go, from the settings.
+/// Limits on the fleet's request rate to a cold back end, relative to the rate that it sustains.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmupLimits {
-    /// Requests in one second, in times of the rate that the back end bears.
+    /// Requests in one second as a multiple of the sustained rate.
     pub overshoot: f64,
-    /// Requests in one second beyond that.
+    /// Number of requests in one second allowed beyond that.
     pub burst: f64,
 }
 
@@ -35,51 +33,52 @@
 }
 
 impl WarmupLimits {
-    /// Requests that a cold back end may get in any second from the whole fleet, if it bears `rate` a second.
+    /// Returns the number of requests that the fleet may send in any second to a cold back end that
+    /// sustains `rate` requests a second.
     pub fn allowance(&self, rate: f64) -> f64 {
         rate * self.overshoot + self.burst
     }
 }
 
-/// The routers that send to a cold back end, and how much each.
+/// Number of routers that may send to a cold back end, and the quota of each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holders {
     /// Number of routers.
     pub routers: usize,
-    /// Requests that each may send in any second.
+    /// Maximum number of requests in any second per router.
     pub requests: u32,
 }
 
 impl Holders {
-    /// How an `allowance`, in requests a second, is held in a fleet of `routers`.
+    /// Divides an `allowance`, in requests a second, in a fleet of `routers`.
     pub fn of(allowance: f64, routers: usize) -> Self {
         let margin = if routers > 1 { MARGIN } else { 1.0 };
-        let most = ((allowance / margin) as u32).clamp(1, HOLDERS);
-        let holders = most.min(routers as u32).max(1);
+        let max = ((allowance / margin) as u32).clamp(1, MAX_HOLDERS);
+        let holders = max.min(routers as u32).max(1);
         let requests = (allowance / (f64::from(holders) * margin)) as u32;
         Self { routers: holders as usize, requests: requests.max(1) }
     }
 }
 
-/// Whether a back end is cold, and what this router has sent there lately.
+/// Warm-up state of a back end, and this router's recent requests to it.
 #[derive(Debug, Clone, Default)]
 pub struct Warmup {
-    /// Until when it is cold.
+    /// Until when the back end is cold.
     until: Timestamp,
-    /// When this router may begin to send.
+    /// From when this router may send requests.
     sending_from: Timestamp,
-    /// Requests sent within the last window while it was cold.
+    /// Times of requests sent in the last window while the back end was cold.
     sent: VecDeque<Timestamp>,
 }
 
 impl Warmup {
-    /// A back end that is heard of for the first time, cold for `left`. No router has sent it anything yet.
+    /// Creates the state of a newly listed back end that is cold for `left`.
     pub fn of_new(now: Timestamp, left: Duration) -> Self {
         Self { until: now + left, sending_from: now, sent: VecDeque::new() }
     }
 
-    /// The source tells that a known back end is cold for `left`. One that turned cold may have had a warm one's
-    /// load within the last second, so nothing is sent until that is over.
+    /// Updates the state of a known back end that the source reports as cold for `left`. If it was
+    /// warm before, sending pauses for a window, as its recent load was that of a warm one.
     pub fn on_update(&mut self, now: Timestamp, left: Duration) {
         if !left.is_zero() && !self.is_cold(now) {
             self.sending_from = now + WINDOW;
@@ -87,18 +86,18 @@
         self.until = now + left;
     }
 
-    /// Whether it is cold.
+    /// Returns whether the back end is cold.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         now < self.until
     }
 
-    /// Whether this router, as one of those that hold the allowance, may send one more request.
+    /// Returns whether this router, as one of the holders, may send one more request.
     pub fn has_capacity(&self, now: Timestamp, holders: Holders) -> bool {
         let recent = self.sent.iter().rev().take_while(|sent| now.since(**sent) <= WINDOW);
         now >= self.sending_from && recent.count() < holders.requests as usize
     }
 
-    /// A request is sent.
+    /// Records a request sent by this router.
     pub fn on_sent(&mut self, now: Timestamp) {
         if !self.is_cold(now) {
             self.sent.clear();
