--- a/crates/routing/src/back_end.rs
+++ b/crates/routing/src/back_end.rs
@@ -1,4 +1,4 @@
-//! Back ends as their source tells them.
+//! Back ends as described by their source.
 
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
@@ -7,18 +7,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Names one life of a back end. All that is believed of a back end hangs on it, so nothing of an earlier life counts for a later one.
+/// Identifies one incarnation of a back end. Everything learned about a back end is keyed by it, so
+/// observations of one incarnation never apply to a later one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BackEndId {
-    /// Its name, which a restarted one may have again.
+    /// Name of the back end, which may be reused after a restart.
     pub name: Arc<str>,
-    /// Which of the lives under that name it is; a later one is larger. 0 where its source tells none: then a restarted one has
-    /// another name.
+    /// Number of the incarnation; increases with each restart under the same name. 0 if the source
+    /// does not number incarnations and a restarted back end gets another name.
     pub incarnation: u64,
 }
 
 impl BackEndId {
-    /// A life of a back end.
+    /// Creates the id of an incarnation of the named back end.
     pub fn new(name: &str, incarnation: u64) -> Self {
         Self { name: Arc::from(name), incarnation }
     }
@@ -39,41 +40,41 @@
     }
 }
 
-/// Whether a back end takes new work.
+/// Whether a back end accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackEndState {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It ends what it has and leaves.
+    /// Finishes the requests in flight and shuts down.
     Draining,
 }
 
-/// A back end.
+/// Description of a back end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEnd {
-    /// Its name for this life.
+    /// Identity of this incarnation.
     pub id: BackEndId,
-    /// The service that it belongs to.
+    /// Name of the service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: String,
-    /// The version of its software.
+    /// Version of its software.
     pub version: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: BackEndState,
-    /// Time for which it stays cold from when its source told; zero if it is warm.
+    /// Remaining warm-up time when the source reported it; zero if it is warm.
     pub cold_for: Duration,
 }
 
 /// All back ends at one revision of their source.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct BackEndList {
-    /// The source's revision; rises.
+    /// Revision of the source; increases with every change.
     pub revision: Revision,
-    /// The back ends.
+    /// The listed back ends.
     pub back_ends: Vec<BackEnd>,
 }
--- a/crates/routing/src/directory.rs
+++ b/crates/routing/src/directory.rs
@@ -1,8 +1,7 @@
-//! The back ends that a router knows, kept up to date by what changed.
+//! The back ends known to a router, updated incrementally.
 //!
-//! A list of ten thousand back ends takes 1.4 MB. Told whole to each of a thousand routers at each change of one, lists were 3.6 GB between
-//! zones in 37 s. So sources and peers tell what changed after a revision, and the whole list only to one that knows none of it, or
-//! nothing since the source was restored or its history lost.
+//! Sources and peers send the changes since a known revision. The whole list is sent only when the
+//! receiver has no revision, the source was restored since, or the history no longer reaches back.
 
 use crate::back_end::{BackEnd, BackEndId, BackEndList, BackEndState};
 use crate::expired::ExpiredBackEnds;
@@ -14,19 +13,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Names that went which are remembered for those that ask what changed; past this, they get the whole list.
-const MOST_GONE: usize = 4_096;
+/// Maximum number of removed names kept for incremental updates; beyond it the history is dropped
+/// and peers receive the whole list.
+const MAX_REMOVED_NAMES: usize = 4_096;
 
-/// Back ends as a source or a peer tells them.
+/// An update of the back ends from a source or a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEndUpdate {
-    /// The revision after which these are the changes; nothing if this is the whole list.
+    /// Revision that the changes are relative to; `None` for a whole list.
     pub base: Option<Revision>,
-    /// The revision at which this holds.
+    /// Revision after the update.
     pub revision: Revision,
-    /// Those that were listed or changed; all of them in a whole list.
+    /// Added and changed back ends; all back ends in a whole list.
     pub listed: Vec<BackEnd>,
-    /// Names of those that went.
+    /// Names of removed back ends.
     pub removed: Vec<Arc<str>>,
 }
 
@@ -36,43 +36,44 @@
     }
 }
 
-/// What an update changes for those that use back ends.
+/// Changes of the back ends that may receive requests, as the result of an update.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct UsableChanges {
-    /// The revision at which this holds.
+    /// Revision after the update.
     pub revision: Revision,
-    /// Those to use from now on as they are told here.
+    /// Added and changed back ends, in the state in which they are to be used.
     pub updated: Vec<BackEnd>,
-    /// Those that are gone.
+    /// Incarnations that are no longer to be used.
     pub removed: Vec<BackEndId>,
 }
 
 #[derive(Debug)]
-struct Listed {
+struct Entry {
     back_end: BackEnd,
-    /// The revision at which this router learned that it changed.
+    /// Revision at which this router learned of the last change.
     changed: Revision,
 }
 
-/// The back ends known, by name.
+/// The known back ends by name.
 #[derive(Debug, Default)]
 pub struct BackEndDirectory {
     revision: Option<Revision>,
-    listed: BTreeMap<Arc<str>, Listed>,
-    /// Number of those listed that take work.
+    listed: BTreeMap<Arc<str>, Entry>,
+    /// Number of listed back ends that are ready.
     ready: usize,
-    /// Names that went, and when.
+    /// Removed names with the revision of their removal.
     removed: BTreeMap<Arc<str>, Revision>,
-    /// The revision from which on changes are known.
-    changes_since: Revision,
-    lapsed: ExpiredBackEnds,
-    lives: LatestIncarnations,
+    /// Oldest revision from which incremental updates can be served.
+    history_start: Revision,
+    expired: ExpiredBackEnds,
+    incarnations: LatestIncarnations,
     departed: DepartedBackEnds,
 }
 
 impl BackEndDirectory {
-    /// Takes an update if it is newer than what is known, and if nothing lies between. Right after an outage of the source it may lack
-    /// living back ends (`recovering`). Gives what it changes.
+    /// Applies an update and returns the resulting changes. Returns `None` if the update is not
+    /// newer than the known revision or its base is unknown. While the source recovers from an
+    /// outage (`recovering`), living back ends may be missing from the update and are kept.
     pub fn apply(
         &mut self,
         now: Timestamp,
@@ -96,11 +97,11 @@
             None => {
                 let is_restored = self.revision.is_some() && known.era < update.revision.era;
                 if is_restored {
-                    let listed = self.listed.values().map(|listed| &listed.back_end);
+                    let listed = self.listed.values().map(|entry| &entry.back_end);
                     self.departed.on_restored(now, listed);
                 }
                 self.remove_missing(now, recovering || is_restored, &update, &mut changes);
-                self.changes_since = update.revision;
+                self.history_start = update.revision;
                 self.removed.clear();
             }
         }
@@ -108,7 +109,7 @@
             self.set(now, back_end, &mut changes);
         }
         self.revision = Some(update.revision);
-        self.forget_old_changes();
+        self.trim_history();
         Some(changes)
     }
 
@@ -133,35 +134,36 @@
         name: &Arc<str>,
         changes: &mut UsableChanges,
     ) {
-        let Some(Listed { back_end, .. }) = self.listed.remove(name) else { return };
+        let Some(Entry { back_end, .. }) = self.listed.remove(name) else { return };
         self.removed.insert(name.clone(), changes.revision);
-        self.lives.on_gone(&back_end.id);
+        self.incarnations.on_removed(&back_end.id);
         if back_end.state != BackEndState::Ready {
             changes.removed.push(back_end.id);
             return;
         }
         self.ready -= 1;
         if recovering {
-            self.lapsed.keep(now, back_end);
+            self.expired.keep(now, back_end);
         } else {
-            self.departed.note(now, &back_end.id);
+            self.departed.record(now, &back_end.id);
             changes.removed.push(back_end.id);
         }
     }
 
-    /// Takes an entry, unless it is of a life that is over.
+    /// Adds or changes a back end, unless the entry is of an earlier incarnation.
     fn set(&mut self, now: Timestamp, back_end: BackEnd, changes: &mut UsableChanges) {
         let name = back_end.id.name.clone();
-        let known = self.listed.get(&name).map(|listed| &listed.back_end);
-        let latest = known.map(|known| known.id.incarnation).max(self.lives.latest_gone(&name));
+        let known = self.listed.get(&name).map(|entry| &entry.back_end);
+        let latest =
+            known.map(|known| known.id.incarnation).max(self.incarnations.latest_removed(&name));
         if latest.is_some_and(|latest| back_end.id.incarnation < latest) {
             return;
         }
-        let kept = self.lapsed.take(&name);
+        let kept = self.expired.take(&name);
         if known == Some(&back_end) {
             return;
         }
-        let known = self.listed.remove(&name).map(|listed| listed.back_end);
+        let known = self.listed.remove(&name).map(|entry| entry.back_end);
         let earlier = known.as_ref().map(|known| &known.id).or(kept.as_ref());
         if let Some(earlier) = earlier.filter(|earlier| **earlier != back_end.id) {
             changes.updated.retain(|one| one.id != *earlier);
@@ -170,66 +172,65 @@
         if known.as_ref().is_some_and(|known| known.state == BackEndState::Ready) {
             self.ready -= 1;
             if back_end.state == BackEndState::Draining {
-                self.departed.note(now, &back_end.id);
+                self.departed.record(now, &back_end.id);
             }
         }
         self.ready += usize::from(back_end.state == BackEndState::Ready);
         self.removed.remove(&name);
-        self.lives.on_listed(&name);
+        self.incarnations.on_listed(&name);
         changes.updated.push(self.departed.as_usable(back_end.clone()));
-        self.listed.insert(name, Listed { back_end, changed: changes.revision });
+        self.listed.insert(name, Entry { back_end, changed: changes.revision });
     }
 
-    /// Takes back ends as gone that have been missing for too long after an outage, and believes a restored source after a while. Gives
-    /// what that changes, if anything.
+    /// Removes back ends that stayed missing for too long after an outage, and accepts the entries
+    /// of a restored source once its uncertainty window has passed. Returns the resulting changes.
     pub fn expire(&mut self, now: Timestamp) -> Option<UsableChanges> {
-        let removed = self.lapsed.expire(now);
-        let believed = self.departed.expire(now);
-        let updated = believed.iter().filter_map(|id| self.listed.get(&id.name));
-        let updated: Vec<BackEnd> = updated.map(|listed| listed.back_end.clone()).collect();
+        let removed = self.expired.expire(now);
+        let accepted = self.departed.expire(now);
+        let updated = accepted.iter().filter_map(|id| self.listed.get(&id.name));
+        let updated: Vec<BackEnd> = updated.map(|entry| entry.back_end.clone()).collect();
         let has_changes = !removed.is_empty() || !updated.is_empty();
         let revision = self.revision?;
         has_changes.then_some(UsableChanges { revision, updated, removed })
     }
 
-    /// What changed after a revision, or the whole list where that is not known.
+    /// Returns the changes since a revision, or the whole list if the history does not reach back.
     pub fn update_since(&self, known: Revision) -> BackEndUpdate {
         let revision = self.revision.unwrap_or_default();
-        let has_changes = known >= self.changes_since && known.era == revision.era;
-        let base = (has_changes && known != Revision::default()).then_some(known);
-        let is_told = |changed: Revision| base.is_none_or(|base| changed > base);
-        let listed = self.listed.values().filter(|listed| is_told(listed.changed));
-        let listed = listed.map(|listed| listed.back_end.clone()).collect();
-        let removed =
-            self.removed.iter().filter(|(_, removed)| base.is_some() && is_told(**removed));
+        let has_history = known >= self.history_start && known.era == revision.era;
+        let base = (has_history && known != Revision::default()).then_some(known);
+        let is_newer = |changed: Revision| base.is_none_or(|base| changed > base);
+        let listed = self.listed.values().filter(|entry| is_newer(entry.changed));
+        let listed = listed.map(|entry| entry.back_end.clone()).collect();
+        let removed = self.removed.iter().filter(|(_, at)| base.is_some() && is_newer(**at));
         let removed = removed.map(|(name, _)| name.clone()).collect();
         BackEndUpdate { base, revision, listed, removed }
     }
 
-    /// The revision known, if any is.
+    /// Returns the known revision, or `None` before the first update.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// Number of those listed.
+    /// Returns the number of listed back ends.
     pub fn len(&self) -> usize {
         self.listed.len()
     }
 
-    /// Whether none is listed.
+    /// Returns whether no back end is listed.
     pub fn is_empty(&self) -> bool {
         self.listed.is_empty()
     }
 
-    /// Number of those listed that take work.
+    /// Returns the number of listed back ends that are ready.
     pub fn ready(&self) -> usize {
         self.ready
     }
 
-    fn forget_old_changes(&mut self) {
-        if self.removed.len() > MOST_GONE {
+    fn trim_history(&mut self) {
+        if self.removed.len() > MAX_REMOVED_NAMES {
             self.removed.clear();
-            self.changes_since = self.revision.unwrap_or_default();
+            self.history_start = self.revision.unwrap_or_default();
         }
     }
 }
--- a/crates/routing/src/evacuation.rs
+++ b/crates/routing/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones whose back ends are to get nothing new until the operator takes that back.
+//! Evacuated zones: their back ends get no new requests until the operator revokes the evacuation.
 
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
@@ -7,8 +7,8 @@
 /// The evacuated zones at one revision of their source.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EvacuatedZones {
-    /// The source's revision; rises.
+    /// Revision of the source; increases with every change.
     pub revision: Revision,
-    /// The zones' names.
+    /// Names of the zones.
     pub zones: BTreeSet<String>,
 }
--- a/crates/routing/src/expired.rs
+++ b/crates/routing/src/expired.rs
@@ -1,8 +1,8 @@
-//! Back ends whose entries lapsed while their source was away.
+//! Back ends whose registry entries expired during an outage of the source.
 //!
-//! A back end keeps its own entry at the source; while the source is away it cannot, and the entry lapses
-//! though the back end lives. Once the source is back, living ones are listed again within moments. So
-//! what is missing right after an outage is kept for a while, and taken as gone if it stays missing.
+//! A back end renews its own entry at the source. During an outage it cannot, and the entry expires
+//! although the back end is alive. Back ends that are missing right after an outage are therefore
+//! kept for a grace period, in which living ones register again.
 
 use crate::back_end::{BackEnd, BackEndId};
 use mastbay_types::Timestamp;
@@ -10,16 +10,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for which a back end is kept that is missing after an outage. Living ones are back within two
-/// seconds.
-const KEPT: Duration = Duration::from_millis(2_000);
+/// Time for which a back end that is missing after an outage is kept. Living ones register again
+/// within two seconds.
+const GRACE_PERIOD: Duration = Duration::from_millis(2_000);
 /// Time after an outage in which lists may lack living back ends.
-const RECOVERY: Duration = Duration::from_millis(2_500);
-/// Shorter outages lapse nothing.
-const SHORTEST_OUTAGE: Duration = Duration::from_millis(1_000);
+const RECOVERY_PERIOD: Duration = Duration::from_millis(2_500);
+/// Minimum duration of an outage; entries survive shorter interruptions.
+const MIN_OUTAGE: Duration = Duration::from_millis(1_000);
 
-/// Follows whether any router of the fleet has contact with the source. One that is cut off alone says
-/// nothing about the source: entries lapse only while it is away for the back ends too.
+/// Detects outages of the source: times when no router of the fleet reaches it. A single router
+/// that is cut off does not count, as the back ends still reach the source to renew their entries.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OutageDetector {
     lost: Option<Timestamp>,
@@ -27,47 +27,47 @@
 }
 
 impl OutageDetector {
-    /// No router's last call was answered.
+    /// Records that the last call of every router failed.
     pub fn on_lost(&mut self, now: Timestamp) {
         self.lost.get_or_insert(now);
     }
 
-    /// Some router's last call was answered.
+    /// Records that the last call of some router was answered.
     pub fn on_answer(&mut self, now: Timestamp) {
         if self.is_outage(now) {
-            self.recovering_until = Some(now + RECOVERY);
+            self.recovering_until = Some(now + RECOVERY_PERIOD);
         }
         self.lost = None;
     }
 
-    /// Whether a list read now may lack living back ends.
+    /// Returns whether a list read now may lack living back ends.
     pub fn is_recovering(&self, now: Timestamp) -> bool {
         self.is_outage(now) || self.recovering_until.is_some_and(|until| now < until)
     }
 
     fn is_outage(&self, now: Timestamp) -> bool {
-        self.lost.is_some_and(|lost| now.since(lost) >= SHORTEST_OUTAGE)
+        self.lost.is_some_and(|lost| now.since(lost) >= MIN_OUTAGE)
     }
 }
 
-/// The back ends that are missing from the source and kept for a while.
+/// Back ends that are missing from the source and kept for a grace period.
 #[derive(Debug, Default)]
 pub struct ExpiredBackEnds {
     kept: BTreeMap<Arc<str>, (BackEndId, Timestamp)>,
 }
 
 impl ExpiredBackEnds {
-    /// A back end that took work is missing, while the source is just recovering from an outage.
+    /// Keeps a ready back end that is missing while the source recovers from an outage.
     pub fn keep(&mut self, now: Timestamp, back_end: BackEnd) {
-        self.kept.insert(back_end.id.name.clone(), (back_end.id, now + KEPT));
+        self.kept.insert(back_end.id.name.clone(), (back_end.id, now + GRACE_PERIOD));
     }
 
-    /// A name is listed again, with whatever life. Gives the one that was kept under it.
+    /// Stops keeping a name that is listed again, as any incarnation. Returns the kept back end.
     pub fn take(&mut self, name: &Arc<str>) -> Option<BackEndId> {
         self.kept.remove(name).map(|(id, _)| id)
     }
 
-    /// Gives those whose time is over, which are gone.
+    /// Removes and returns the back ends whose grace period is over.
     pub fn expire(&mut self, now: Timestamp) -> Vec<BackEndId> {
         let gone: Vec<BackEndId> = self
             .kept
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,83 +1,87 @@
-//! What a router believes of a back end from its own exchanges: health answers may lie and lists lag.
+//! Passive health checking: the health of a back end as observed by this router's exchanges. Health
+//! endpoints may be wrong and lists may be outdated.
 
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// What went wrong with an exchange.
+/// Fault of an exchange with a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// No connection came up.
+    /// No connection could be established.
     Unreachable,
-    /// It broke, timed out or answered something else.
+    /// The connection broke, timed out or carried an unexpected response.
     Broken,
-    /// It answered with a failure of its own.
+    /// The back end answered with an error of its own.
     Failure,
-    /// It says that it is full.
+    /// The back end reported that it is at capacity.
     Full,
-    /// Another life of a back end has its address.
+    /// Another incarnation of a back end has the address.
     Replaced,
 }
 
-/// First pause after a fault that says that the back end is not there.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
-/// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(3_000);
-/// Pause after a back end said that it is full.
-const FULL_PAUSE: Duration = Duration::from_millis(50);
-/// Part of the failure share that one exchange moves.
-const GAIN: f64 = 0.12;
-/// Time in which the failure share halves while nothing is sent.
-const HALF_LIFE: Duration = Duration::from_millis(2_500);
+/// Cooldown after the first failure to connect; doubles with each further one.
+const INITIAL_COOLDOWN: Duration = Duration::from_millis(400);
+/// Maximum cooldown.
+const MAX_COOLDOWN: Duration = Duration::from_millis(3_000);
+/// Cooldown after a back end reported that it is at capacity.
+const FULL_COOLDOWN: Duration = Duration::from_millis(50);
+/// Weight of one exchange in the failure rate.
+const FAILURE_RATE_SMOOTHING: f64 = 0.12;
+/// Half-life of the failure rate while no requests are sent.
+const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_millis(2_500);
 
-/// The state of one back end.
+/// Health of one back end.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    failures: f64,
-    moved: Timestamp,
-    pauses: u32,
-    paused_until: Timestamp,
+    /// Failure rate at `updated_at`.
+    last_failure_rate: f64,
+    updated_at: Timestamp,
+    /// Number of failures to connect since the last success.
+    failed_connects: u32,
+    cooldown_until: Timestamp,
 }
 
 impl Health {
-    /// An exchange went well.
+    /// Records a successful exchange.
     pub fn on_success(&mut self, now: Timestamp) {
-        self.move_share(now, 0.0);
-        self.pauses = 0;
+        self.update_failure_rate(now, 0.0);
+        self.failed_connects = 0;
     }
 
-    /// An exchange went wrong.
+    /// Records a failed exchange.
     pub fn on_fault(&mut self, now: Timestamp, fault: Fault) {
         match fault {
-            Fault::Full => self.pause(now, FULL_PAUSE),
-            Fault::Replaced => self.pause(now, LONGEST_PAUSE),
-            Fault::Failure | Fault::Broken => self.move_share(now, 1.0),
+            Fault::Full => self.cool_down(now, FULL_COOLDOWN),
+            Fault::Replaced => self.cool_down(now, MAX_COOLDOWN),
+            Fault::Failure | Fault::Broken => self.update_failure_rate(now, 1.0),
             Fault::Unreachable => {
-                self.move_share(now, 1.0);
-                let pause = FIRST_PAUSE * 2_u32.pow(self.pauses.min(8));
-                self.pause(now, pause.min(LONGEST_PAUSE));
-                self.pauses += 1;
+                self.update_failure_rate(now, 1.0);
+                let cooldown = INITIAL_COOLDOWN * 2_u32.pow(self.failed_connects.min(8));
+                self.cool_down(now, cooldown.min(MAX_COOLDOWN));
+                self.failed_connects += 1;
             }
         }
     }
 
-    /// Whether nothing should be sent to it now.
+    /// Returns whether no request should be sent to the back end now.
     pub fn is_cooling_down(&self, now: Timestamp) -> bool {
-        now < self.paused_until
+        now < self.cooldown_until
     }
 
-    /// The share of exchanges that fail, 0 to 1, as believed now.
+    /// Returns the estimated fraction of failing exchanges, 0 to 1.
     pub fn failure_rate(&self, now: Timestamp) -> f64 {
-        let halvings = now.since(self.moved).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        self.failures * 0.5_f64.powf(halvings)
+        let halvings =
+            now.since(self.updated_at).as_secs_f64() / FAILURE_RATE_HALF_LIFE.as_secs_f64();
+        self.last_failure_rate * 0.5_f64.powf(halvings)
     }
 
-    fn pause(&mut self, now: Timestamp, pause: Duration) {
-        self.paused_until = self.paused_until.max(now + pause);
+    fn cool_down(&mut self, now: Timestamp, cooldown: Duration) {
+        self.cooldown_until = self.cooldown_until.max(now + cooldown);
     }
 
-    fn move_share(&mut self, now: Timestamp, outcome: f64) {
-        let share = self.failure_rate(now);
-        self.failures = share + GAIN * (outcome - share);
-        self.moved = now;
+    fn update_failure_rate(&mut self, now: Timestamp, outcome: f64) {
+        let rate = self.failure_rate(now);
+        self.last_failure_rate = rate + FAILURE_RATE_SMOOTHING * (outcome - rate);
+        self.updated_at = now;
     }
 }
--- a/crates/routing/src/incarnations.rs
+++ b/crates/routing/src/incarnations.rs
@@ -1,23 +1,23 @@
-//! Which life of a back end was the latest, of those that are listed no more.
+//! The latest incarnation of each back end that is no longer listed.
 //!
-//! A back end may start again under its name. What an earlier life wrote may come later than what the new one did.
+//! A back end may restart under its name, and an entry written by an earlier incarnation may arrive
+//! after that of a later one.
 
 use crate::back_end::BackEndId;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Names that are remembered after they went; past this, they are forgotten. It is the names that come and go that count here, not
-/// those that are listed.
-const MOST_REMEMBERED: usize = 8_192;
+/// Maximum number of removed names kept; beyond it all of them are dropped.
+const MAX_NAMES: usize = 8_192;
 
-/// The latest lives of names that went.
+/// Latest incarnations by removed name.
 #[derive(Debug, Default)]
 pub struct LatestIncarnations(BTreeMap<Arc<str>, u64>);
 
 impl LatestIncarnations {
-    /// A back end is listed no more.
-    pub fn on_gone(&mut self, id: &BackEndId) {
-        if self.0.len() >= MOST_REMEMBERED {
+    /// Records the incarnation of a back end that is no longer listed.
+    pub fn on_removed(&mut self, id: &BackEndId) {
+        if self.0.len() >= MAX_NAMES {
             self.0.clear();
         }
         if id.incarnation > 0 {
@@ -25,13 +25,13 @@
         }
     }
 
-    /// A name is listed, which tells its latest life from now on.
+    /// Drops a name that is listed again, as its entry now holds the latest incarnation.
     pub fn on_listed(&mut self, name: &Arc<str>) {
         self.0.remove(name);
     }
 
-    /// The latest life of a name that went, if it is remembered.
-    pub fn latest_gone(&self, name: &Arc<str>) -> Option<u64> {
+    /// Returns the latest incarnation of a removed name, if it is kept.
+    pub fn latest_removed(&self, name: &Arc<str>) -> Option<u64> {
         self.0.get(name).copied()
     }
 }
--- a/crates/routing/src/restored.rs
+++ b/crates/routing/src/restored.rs
@@ -1,8 +1,9 @@
-//! What a source that was restored from an older copy tells, and what of it is not to be believed yet.
+//! Handles a source that was restored from an older backup.
 //!
-//! The copy holds back ends that have left since and lacks evacuations that were ordered since. Back ends that live write themselves
-//! again within moments, entries of the others lapse, and the operator writes again what was lost. Until then what is known from before
-//! the restore counts where it keeps requests away from a back end.
+//! The backup contains back ends that have left since and lacks evacuations that were ordered
+//! since. Living back ends soon register again, entries of the others expire, and the operator
+//! repeats lost orders. Until then, earlier knowledge that keeps requests away from a back end
+//! stays in effect.
 
 use crate::back_end::{BackEnd, BackEndId, BackEndState};
 use crate::evacuation::EvacuatedZones;
@@ -10,82 +11,82 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time for which a restored source is not believed where it makes usable again what was not: back ends write themselves each 1.2 s, and
-/// the entry of one that is gone lapses after three of these; the rest is for the way here.
-const DOUBT: Duration = Duration::from_secs(6);
-/// Time for which it is remembered that a back end left. A copy is some seconds old, ten at most.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// Time after a restore for which earlier knowledge overrides the source. Covers the expiry of the
+/// entry of a back end that is gone (three renewals of 1.2 s) and its propagation.
+const UNCERTAINTY_WINDOW: Duration = Duration::from_secs(6);
+/// Time for which departed back ends are kept, longer than the age of a backup.
+const DEPARTED_TTL: Duration = Duration::from_secs(30);
 
-/// What is held against a restored source for as long as it is not believed.
+/// Items for which earlier knowledge overrides a restored source.
 #[derive(Debug)]
-struct Doubt<T> {
-    held: BTreeSet<T>,
+struct UncertaintyWindow<T> {
+    items: BTreeSet<T>,
     until: Option<Timestamp>,
 }
 
-impl<T> Default for Doubt<T> {
+impl<T> Default for UncertaintyWindow<T> {
     fn default() -> Self {
-        Self { held: BTreeSet::new(), until: None }
+        Self { items: BTreeSet::new(), until: None }
     }
 }
 
-impl<T: Ord> Doubt<T> {
-    fn new(now: Timestamp, held: BTreeSet<T>) -> Self {
-        Self { held, until: Some(now + DOUBT) }
+impl<T: Ord> UncertaintyWindow<T> {
+    fn new(now: Timestamp, items: BTreeSet<T>) -> Self {
+        Self { items, until: Some(now + UNCERTAINTY_WINDOW) }
     }
 
-    /// Ends it when its time is over, and gives what it held.
+    /// Returns the items if the window ends now.
     fn expire(&mut self, now: Timestamp) -> Option<BTreeSet<T>> {
         self.until.take_if(|until| now >= *until)?;
-        Some(std::mem::take(&mut self.held))
+        Some(std::mem::take(&mut self.items))
     }
 }
 
-/// Back ends that left: they said so, or their entries went.
+/// Back ends that announced to be draining or whose entries were removed.
 #[derive(Debug, Default)]
 pub struct DepartedBackEnds {
     departed: BTreeMap<BackEndId, Timestamp>,
-    doubt: Doubt<BackEndId>,
+    uncertain: UncertaintyWindow<BackEndId>,
 }
 
 impl DepartedBackEnds {
-    /// A back end that took work said that it leaves, or its entry went.
-    pub fn note(&mut self, now: Timestamp, id: &BackEndId) {
-        self.departed.retain(|_, left| now.since(*left) < REMEMBERED);
+    /// Records that a ready back end started draining or that its entry was removed.
+    pub fn record(&mut self, now: Timestamp, id: &BackEndId) {
+        self.departed.retain(|_, left| now.since(*left) < DEPARTED_TTL);
         self.departed.insert(id.clone(), now);
     }
 
-    /// The source was restored. `known` are the back ends from before.
+    /// Records that the source was restored. `known` are the back ends known before.
     pub fn on_restored<'a>(&mut self, now: Timestamp, known: impl Iterator<Item = &'a BackEnd>) {
-        self.departed.retain(|_, left| now.since(*left) < REMEMBERED);
+        self.departed.retain(|_, left| now.since(*left) < DEPARTED_TTL);
         let draining = known.filter(|one| one.state == BackEndState::Draining);
         let left = self.departed.keys().chain(draining.map(|one| &one.id));
-        self.doubt = Doubt::new(now, left.cloned().collect());
+        self.uncertain = UncertaintyWindow::new(now, left.cloned().collect());
     }
 
-    /// Ends the doubt when its time is over. Gives those that were in doubt.
+    /// Ends the uncertainty window if it is over. Returns the back ends that it contained.
     pub fn expire(&mut self, now: Timestamp) -> BTreeSet<BackEndId> {
-        self.doubt.expire(now).unwrap_or_default()
+        self.uncertain.expire(now).unwrap_or_default()
     }
 
-    /// A back end as it may be used: one that left before the restore gets nothing new.
+    /// Returns a listed back end as it may be used: as draining if it left before the restore.
     pub fn as_usable(&self, back_end: BackEnd) -> BackEnd {
-        if !self.doubt.held.contains(&back_end.id) {
+        if !self.uncertain.items.contains(&back_end.id) {
             return back_end;
         }
         BackEnd { state: BackEndState::Draining, ..back_end }
     }
 }
 
-/// The evacuated zones, with those that a restored source has lost.
+/// The evacuated zones, including those that a restored source has lost.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     known: Option<EvacuatedZones>,
-    kept: Doubt<String>,
+    kept: UncertaintyWindow<String>,
 }
 
 impl Evacuations {
-    /// Takes evacuated zones if they are newer than those known. Gives whether it did.
+    /// Replaces the evacuated zones by newer ones. Returns whether they were newer.
     pub fn offer(&mut self, now: Timestamp, offered: &EvacuatedZones) -> bool {
         let known = self.known.as_ref().map(|known| known.revision);
         if known.is_some_and(|known| known >= offered.revision) {
@@ -93,26 +94,26 @@
         }
         if known.is_some_and(|known| known.era < offered.revision.era) {
             let zones = self.in_force().map(|known| known.zones).unwrap_or_default();
-            self.kept = Doubt::new(now, zones);
+            self.kept = UncertaintyWindow::new(now, zones);
         }
         self.known = Some(offered.clone());
         true
     }
 
-    /// Lets go of zones that were kept, when their time is over. Gives whether that is now.
+    /// Drops the kept zones if the uncertainty window is over. Returns whether it ended now.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         self.kept.expire(now).is_some()
     }
 
-    /// The zones as the source tells them.
+    /// Returns the zones as reported by the source.
     pub fn known(&self) -> Option<&EvacuatedZones> {
         self.known.as_ref()
     }
 
-    /// The zones whose back ends get nothing new.
+    /// Returns the zones whose back ends get no new requests, including kept ones.
     pub fn in_force(&self) -> Option<EvacuatedZones> {
         let mut zones = self.known.clone()?;
-        zones.zones.extend(self.kept.held.iter().cloned());
+        zones.zones.extend(self.kept.items.iter().cloned());
         Some(zones)
     }
 }
--- a/crates/routing/src/revision.rs
+++ b/crates/routing/src/revision.rs
@@ -1,30 +1,30 @@
-//! Revisions of a source that may come back from an older copy of itself.
+//! Revisions of a source that may be restored from a backup.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// A revision of a source. A restored source gives its numbers out again, so a number alone says nothing: whatever a later era tells is
-/// newer than all of an earlier one.
+/// A revision of a source. A restored source reuses revision numbers, so revisions are ordered by
+/// era first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the source was restored; compared first.
+    /// Number of times the source was restored; compared first.
     pub era: u64,
-    /// The source's number within the era; 0 where nothing is known.
+    /// Revision number within the era; 0 if nothing is known.
     pub number: u64,
 }
 
 impl Revision {
-    /// A revision of an era.
+    /// Creates a revision of an era.
     pub const fn new(era: u64, number: u64) -> Self {
         Self { era, number }
     }
 }
 
-/// A revision of a source that was never restored.
+/// Creates a revision of a source that was never restored.
 impl From<u64> for Revision {
     fn from(number: u64) -> Self {
         Self { era: 0, number }
@@ -40,9 +40,9 @@
     }
 }
 
-/// A text that is no revision.
+/// Error for a string that is neither `number` nor `era.number`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("not a revision")]
+#[display("a revision is a number, or an era and a number joined by a dot")]
 pub struct ParseRevisionError;
 
 impl FromStr for Revision {
--- a/crates/routing/src/stall.rs
+++ b/crates/routing/src/stall.rs
@@ -1,73 +1,76 @@
-//! What a router must not take for new after it stood still: its machine was suspended or frozen, or it got no processor time.
+//! Detects stalls of the router process: its machine was suspended or frozen, or it got no CPU
+//! time. Messages read right after a stall may have been sent long before.
 
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// Time without a turn that counts as a standstill. Turns are 20 ms apart; a router with too much to do is late by less as a rule.
-const SHORTEST: Duration = Duration::from_secs(1);
-/// Time after a standstill in which what is read may have come during it.
-const AFTERMATH: Duration = Duration::from_millis(150);
-/// Longest time for which requests wait after a standstill for news of what changed meanwhile: a failed call and another.
-const LONGEST_WAIT_FOR_NEWS: Duration = Duration::from_millis(600);
+/// Minimum time between two ticks that counts as a stall. Ticks are 20 ms apart, and the event loop
+/// of an overloaded router is usually late by less.
+const MIN_STALL: Duration = Duration::from_secs(1);
+/// Time after a stall in which messages that are read may have arrived during it.
+const RECOVERY_PERIOD: Duration = Duration::from_millis(150);
+/// Maximum time for which requests wait for updates after a stall: a failed call and a second one.
+const MAX_UPDATE_WAIT: Duration = Duration::from_millis(600);
 
-/// A time in which the router did nothing.
+/// A period in which the process did not run.
 #[derive(Debug, Clone, Copy)]
-struct Standstill {
+struct Stall {
     began: Timestamp,
     ended: Timestamp,
 }
 
-/// Notices standstills by the time between two turns.
+/// Detects stalls by the time between two ticks of the event loop.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StallDetector {
-    last_turn: Timestamp,
-    last: Option<Standstill>,
-    heard: Timestamp,
+    last_tick: Timestamp,
+    last_stall: Option<Stall>,
+    last_contact: Timestamp,
 }
 
 impl StallDetector {
-    /// The router takes a turn. Gives for how long it stood still, if it did.
+    /// Processes a tick. Returns the duration of the stall that it ends, if any.
     pub fn on_tick(&mut self, now: Timestamp) -> Option<Duration> {
-        let began = std::mem::replace(&mut self.last_turn, now);
+        let began = std::mem::replace(&mut self.last_tick, now);
         let lasted = now.since(began);
-        if lasted < SHORTEST {
+        if lasted < MIN_STALL {
             return None;
         }
-        self.last = Some(Standstill { began, ended: now });
+        self.last_stall = Some(Stall { began, ended: now });
         Some(lasted)
     }
 
-    /// A peer or a source was heard.
+    /// Records a message from a peer or an answer of the source.
     pub fn on_contact(&mut self, now: Timestamp) {
-        self.heard = now;
+        self.last_contact = now;
     }
 
-    /// When something that is read now came at the earliest: it may have lain there while the router stood still.
+    /// Returns the earliest time at which a message that is read now may have arrived.
     pub fn earliest_arrival(&self, now: Timestamp) -> Timestamp {
         match self.current(now) {
-            Some(standstill) if now.since(standstill.ended) <= AFTERMATH => standstill.began,
+            Some(stall) if now.since(stall.ended) <= RECOVERY_PERIOD => stall.began,
             _ => now,
         }
     }
 
-    /// Whether the router stood still for longer than `bound` a moment ago, so that what it knows of versions may be too old.
+    /// Returns whether a stall of more than `bound` ended so recently that the known versions may
+    /// be outdated.
     pub fn may_be_outdated(&self, now: Timestamp, bound: Duration) -> bool {
-        self.current(now).is_some_and(|standstill| {
-            standstill.ended.since(standstill.began) > bound
-                && now.since(standstill.ended) < LONGEST_WAIT_FOR_NEWS
+        self.current(now).is_some_and(|stall| {
+            stall.ended.since(stall.began) > bound && now.since(stall.ended) < MAX_UPDATE_WAIT
         })
     }
 
-    /// Whether a peer or a source was heard after the last standstill. What is read right after it was sent during it.
+    /// Returns whether a peer or the source was heard from since the last stall. Messages read in
+    /// the recovery period do not count, as they were sent during the stall.
     pub fn has_contact_since_stall(&self, now: Timestamp) -> bool {
-        self.current(now).is_none_or(|standstill| self.heard > standstill.ended + AFTERMATH)
+        self.current(now).is_none_or(|stall| self.last_contact > stall.ended + RECOVERY_PERIOD)
     }
 
-    /// The last standstill, also one that no turn has noticed yet.
-    fn current(&self, now: Timestamp) -> Option<Standstill> {
-        if now.since(self.last_turn) >= SHORTEST {
-            return Some(Standstill { began: self.last_turn, ended: now });
+    /// Returns the last stall, including one that no tick has ended yet.
+    fn current(&self, now: Timestamp) -> Option<Stall> {
+        if now.since(self.last_tick) >= MIN_STALL {
+            return Some(Stall { began: self.last_tick, ended: now });
         }
-        self.last
+        self.last_stall
     }
 }
