--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,106 +1,107 @@
-//! The life of one request in a router: the only place that decides whether it may be sent again and
-//! whether its caller may be told that it did not run.
+//! The execution state of one request over all its attempts: the only place that decides whether a
+//! request may be sent again and whether its caller may be told that it did not run.
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum AttemptState {
-    /// No byte of it has left.
+    /// No byte of it has been sent.
     #[default]
     Unsent,
-    /// It was handed to a back end, which has not answered.
+    /// Sent to a back end that has not answered yet.
     Sent,
-    /// A back end answered it with a head that stands for a run.
+    /// Answered by a back end with a head that shows that it ran.
     Answered,
-    /// It was handed to a back end and its outcome is not known.
+    /// Sent to a back end with an unknown outcome.
     Unknown,
 }
 
-/// What a caller may be told once a request is given up.
+/// What a caller may be told about a request that is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionStatus {
-    /// It has not run and will not.
+    /// It has not run and will not run.
     NotRun,
     /// It may have run.
     MayHaveRun,
 }
 
-/// One request, over all the back ends that it is sent to.
+/// A request over all the back ends that it is sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
     idempotent: bool,
     max_sends: u32,
     sends: u32,
-    /// Sends after which it has run or may have run.
-    runs: u32,
+    /// Number of sends after which the request has run or may have run.
+    possible_runs: u32,
     state: AttemptState,
 }
 
 impl Attempt {
-    /// A request that no byte of has left.
+    /// Creates an unsent request. `max_sends` is raised to at least 1.
     pub fn new(idempotent: bool, max_sends: u32) -> Self {
         let max_sends = max_sends.max(1);
-        Self { idempotent, max_sends, sends: 0, runs: 0, state: AttemptState::Unsent }
+        Self { idempotent, max_sends, sends: 0, possible_runs: 0, state: AttemptState::Unsent }
     }
 
-    /// How far it has come.
+    /// Returns the progress of the request.
     pub fn state(&self) -> AttemptState {
         self.state
     }
 
-    /// Times it was handed to a back end that did not say that it had not run it.
+    /// Returns the number of sends, without those that a back end reported as not run.
     pub fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// It is being handed to a back end.
+    /// Records that the request is being sent to a back end.
     pub fn on_send(&mut self) {
         self.sends += 1;
         self.state = AttemptState::Sent;
     }
 
-    /// Nothing of it was written after all: the connection had closed before.
+    /// Reverts a send of which nothing was written because the connection had closed before.
     pub fn on_nothing_written(&mut self) {
         self.sends = self.sends.saturating_sub(1);
-        self.settle_unsent();
+        self.revert_send();
     }
 
-    /// The back end's own word: it did not run the request.
+    /// Reverts a send after the back end reported that it did not run the request.
     pub fn on_not_run(&mut self) {
         self.sends = self.sends.saturating_sub(1);
-        self.settle_unsent();
+        self.revert_send();
     }
 
-    /// A head that stands for a run has come.
+    /// Records a response head that shows that the request ran.
     pub fn on_answer(&mut self) {
-        self.runs += 1;
+        self.possible_runs += 1;
         self.state = AttemptState::Answered;
     }
 
-    /// The connection broke, timed out or carried something else.
+    /// Records that the connection broke, timed out or carried an unexpected response.
     pub fn on_lost(&mut self) {
-        self.runs += 1;
+        self.possible_runs += 1;
         self.state = AttemptState::Unknown;
     }
 
-    /// Whether it may be handed to a further back end, as far as its own life tells.
+    /// Returns whether the request may be sent to a further back end.
     pub fn may_send(&self) -> bool {
-        let settled = match self.state {
-            AttemptState::Unsent => self.runs == 0 || self.idempotent,
+        let is_safe = match self.state {
+            AttemptState::Unsent => self.possible_runs == 0 || self.idempotent,
             AttemptState::Sent => false,
             AttemptState::Answered | AttemptState::Unknown => self.idempotent,
         };
-        settled && self.sends < self.max_sends
+        is_safe && self.sends < self.max_sends
     }
 
-    /// What its caller may be told when it is given up now.
+    /// Returns what the caller may be told if the request is given up now.
     pub fn execution_status(&self) -> ExecutionStatus {
         match self.state {
-            AttemptState::Unsent if self.runs == 0 => ExecutionStatus::NotRun,
+            AttemptState::Unsent if self.possible_runs == 0 => ExecutionStatus::NotRun,
             _ => ExecutionStatus::MayHaveRun,
         }
     }
 
-    fn settle_unsent(&mut self) {
-        self.state = if self.runs == 0 { AttemptState::Unsent } else { AttemptState::Unknown };
+    fn revert_send(&mut self) {
+        self.state =
+            if self.possible_runs == 0 { AttemptState::Unsent } else { AttemptState::Unknown };
     }
 }
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,17 +1,17 @@
-//! The fleet's budget for requests that are sent a second time, kept without a message on the way.
+//! The fleet-wide retry budget of a service, enforced by each router without coordination.
 
 use mastbay_types::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The budget of the whole fleet for one service.
+/// Retry budget of the whole fleet for one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimits {
-    /// Second sends allowed for each request, over the window.
+    /// Number of retries allowed per request over the window.
     pub ratio: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// Second sends allowed in a window beside those.
+    /// Number of retries allowed per window in addition.
     pub burst: f64,
 }
 
@@ -21,61 +21,62 @@
     }
 }
 
-/// Part of the fleet's budget that is used; the rest covers routers that this one does not know.
-const USED_PART: f64 = 0.7;
+/// Fraction of the fleet's budget that is used. The rest covers routers that this one does not
+/// know.
+const USED_FRACTION: f64 = 0.7;
 
-/// One router's part of the budget of one service.
+/// One router's share of the retry budget of one service.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     limits: BudgetLimits,
-    /// No burst before this moment: an earlier life may have spent it.
+    /// Time before which there is no burst, as an earlier incarnation may have spent it.
     burst_from: Timestamp,
-    /// Uniform in 0..1 over the routers of a fleet, see [`Self::left`].
+    /// Rounding offset of this router, uniform in 0..1 over the fleet, see [`Self::remaining`].
     rounding: f64,
     requests: VecDeque<Timestamp>,
-    repeats: VecDeque<Timestamp>,
+    retries: VecDeque<Timestamp>,
 }
 
 impl RetryBudget {
-    /// A budget; until `burst_from` only the router's own requests earn second sends. `rounding` is this router's draw, uniform in 0..1
-    /// over the routers of a fleet.
+    /// Creates a budget. Until `burst_from` only the router's own requests allow retries.
+    /// `rounding` is this router's draw, uniform in 0..1 over the routers of a fleet.
     pub fn new(limits: BudgetLimits, burst_from: Timestamp, rounding: f64) -> Self {
-        let (requests, repeats) = (VecDeque::new(), VecDeque::new());
-        Self { limits, burst_from, rounding, requests, repeats }
+        let (requests, retries) = (VecDeque::new(), VecDeque::new());
+        Self { limits, burst_from, rounding, requests, retries }
     }
 
-    /// A request for the service came.
+    /// Records a request for the service.
     pub fn on_request(&mut self, now: Timestamp) {
         self.requests.push_back(now);
-        self.forget(now);
+        self.expire(now);
     }
 
-    /// Takes one second send, if the budget has it. `routers` is the number of routers of the fleet.
+    /// Takes one retry if the budget allows it. `routers` is the number of routers of the fleet.
     pub fn take(&mut self, now: Timestamp, routers: usize) -> bool {
         if self.remaining(now, routers) == 0 {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    /// Second sends left now. A router's part is no whole number: with 985 routers and a burst of 1,040 each had 0.74 of one and used none,
-    /// and 500s that another back end would have mended went to callers. So each rounds its part of the burst up or down by its draw, and all together
-    /// have as many as they should: in the mean, and within 14 of 728 in two fleets of three.
+    /// Returns the number of remaining retries. A router's share of the burst may be less than one
+    /// retry; it is rounded up or down by the router's draw, so that the shares of all routers add
+    /// up to the burst on average.
     pub fn remaining(&mut self, now: Timestamp, routers: usize) -> u32 {
-        self.forget(now);
+        self.expire(now);
         let burst = if now < self.burst_from { 0.0 } else { self.limits.burst };
-        let earned = USED_PART * self.limits.ratio * self.requests.len() as f64;
-        let burst = USED_PART * burst / routers.max(1) as f64;
+        let earned = USED_FRACTION * self.limits.ratio * self.requests.len() as f64;
+        let burst = USED_FRACTION * burst / routers.max(1) as f64;
         let rounding = if routers > 1 && burst > 0.0 { self.rounding } else { 0.0 };
-        // What is earned moves with each request, so that rounding it as well would count each router's best moment.
+        // The earned part changes with each request; rounding it too would exceed the budget.
         let rounded = earned.floor() + (burst + rounding).floor();
         let allowed = (earned + burst).floor().max(rounded);
-        (allowed as u32).saturating_sub(self.repeats.len() as u32)
+        (allowed as u32).saturating_sub(self.retries.len() as u32)
     }
 
-    fn forget(&mut self, now: Timestamp) {
-        for times in [&mut self.requests, &mut self.repeats] {
+    fn expire(&mut self, now: Timestamp) {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|time| now.since(*time) > self.limits.window) {
                 times.pop_front();
             }
--- a/crates/routing/src/fingerprint.rs
+++ b/crates/routing/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two arrivals the same request: each arrival has another id, its caller, method, host, target and body stay.
+//! Fingerprints that recognize repetitions of a request, which differ only in the request id.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -6,33 +6,33 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// What a request is recognized by when it comes again.
+/// The parts of a request that repetitions have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestIdentity<'a> {
-    /// Its tenant; nothing for a request without a key.
+    /// Tenant; `None` for a request without a key.
     pub tenant: Option<&'a str>,
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that it is for.
+    /// Host that the request is for.
     pub host: &'a str,
-    /// Its path and query.
+    /// Path and query.
     pub target: &'a str,
-    /// Its body.
+    /// Body.
     pub body: &'a [u8],
 }
 
-/// A hash of a request's identity: the first 128 bits of SHA-256, as two numbers.
+/// Hash of a request's identity: the first 128 bits of SHA-256, as two numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint(u64, u64);
 
 impl RequestFingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(identity: &RequestIdentity<'_>) -> Self {
         let RequestIdentity { tenant, method, host, target, body } = identity;
         let mut hash = Sha256::new();
         hash.update([u8::from(tenant.is_some())]);
         for part in [tenant.unwrap_or_default(), method, host, target] {
-            // With lengths, no two identities give the same bytes.
+            // The length prefix keeps different identities from yielding the same bytes.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
@@ -44,7 +44,7 @@
         Self(half(0), half(8))
     }
 
-    /// A number that is drawn as evenly as the fingerprint itself.
+    /// Returns the first 64 bits, for hashing and drawing.
     pub fn short(self) -> u64 {
         self.0
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// A text is no fingerprint: it is not 32 hexadecimal digits.
+/// Error for a string that is not 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("a fingerprint is 32 hexadecimal digits")]
 pub struct ParseFingerprintError;
--- a/crates/routing/src/gossip.rs
+++ b/crates/routing/src/gossip.rs
@@ -1,15 +1,15 @@
-//! What a router tells others in a few rounds each, since a datagram may be lost.
+//! A queue of items that are sent to peers in several gossip rounds, as datagrams may be lost.
 
 use std::collections::VecDeque;
 
-/// Rounds in which one thing is told. With three targets a round and as many rounds, one router of a large fleet misses it once in
-/// 8,000 times.
+/// Number of rounds in which an item is sent. With three targets per round, a peer in a large fleet
+/// very rarely misses an item.
 pub const TRANSMISSIONS: u32 = 3;
 
-/// Things that are still to be told.
+/// Items that are still to be sent.
 #[derive(Debug)]
 pub struct GossipQueue<T> {
-    /// Each with the rounds in which it is told on.
+    /// Items with their remaining number of transmissions.
     due: VecDeque<(T, u32)>,
 }
 
@@ -20,21 +20,21 @@
 }
 
 impl<T: Clone> GossipQueue<T> {
-    /// Something is to be told in so many rounds.
-    pub fn push(&mut self, news: T, tellings: u32) {
-        if tellings > 0 {
-            self.due.push_back((news, tellings));
+    /// Adds an item to be sent in a number of rounds; with 0 it is dropped.
+    pub fn push(&mut self, item: T, transmissions: u32) {
+        if transmissions > 0 {
+            self.due.push_back((item, transmissions));
         }
     }
 
-    /// What is told in one round, `most` at most; those that have waited longest go first.
-    pub fn next_round(&mut self, most: usize) -> Vec<T> {
-        let mut told = Vec::new();
-        for _ in 0..self.due.len().min(most) {
-            let Some((news, tellings)) = self.due.pop_front() else { break };
-            told.push(news.clone());
-            self.push(news, tellings - 1);
+    /// Returns the items to send in one round, at most `max`, those that have waited longest first.
+    pub fn next_round(&mut self, max: usize) -> Vec<T> {
+        let mut items = Vec::new();
+        for _ in 0..self.due.len().min(max) {
+            let Some((item, transmissions)) = self.due.pop_front() else { break };
+            items.push(item.clone());
+            self.push(item, transmissions - 1);
         }
-        told
+        items
     }
 }
--- a/crates/routing/src/quarantine/messages.rs
+++ b/crates/routing/src/quarantine/messages.rs
@@ -1,64 +1,64 @@
-//! What routers tell each other of requests under which back ends ended, and what is known of one.
+//! Reports of back-end terminations between routers, and the quarantine status of a request.
 
 use crate::fingerprint::RequestFingerprint;
 use crate::load_stats::EngineKey;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A life of a back end that ended under a request, as routers tell each other.
+/// Reports that a back end terminated while a request was in flight on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TerminationReport {
     /// The request.
     pub request: RequestFingerprint,
-    /// The life that ended.
+    /// The terminated incarnation.
     pub back_end: EngineKey,
-    /// Time for which it counts on, in milliseconds.
+    /// Remaining time for which the termination counts against the request, in milliseconds.
     pub counts_for_ms: u32,
-    /// Whether the request was served to its end since, so that the end doesn't count.
+    /// Whether the request has since been served, so that the termination no longer counts.
     pub is_cleared: bool,
 }
 
-/// What is known of a request.
+/// Quarantine status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing that speaks against it.
+    /// No termination counts against the request.
     Clear,
-    /// Back ends ended under it, fewer than the limit.
+    /// Fewer terminations than the limit count against the request.
     Suspect,
-    /// It is sent to no back end.
+    /// The request is sent to no back end.
     Quarantined {
-        /// For how long, unless it is served before.
+        /// Remaining time of the quarantine, unless the request is served before.
         left: Duration,
-        /// When its caller may come back: it may be let through then, to see whether it is served.
+        /// When the client may retry: the request may then be let through as a probe.
         retry_after: Duration,
     },
 }
 
-/// A request that is quarantined.
+/// A quarantined request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantinedRequest {
     /// The request.
     pub request: RequestFingerprint,
-    /// The lives of back ends that ended under it.
+    /// Incarnations of back ends that terminated while the request was in flight.
     pub back_ends: Vec<EngineKey>,
-    /// For how long it is quarantined.
+    /// Remaining time of the quarantine.
     pub left: Duration,
 }
 
-/// A router's place in an order of all routers that each of them knows.
+/// A router's position in the order in which routers probe a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProbeSlot {
-    /// Its place, from 0.
+    /// Position of this router, starting at 0.
     pub index: u64,
-    /// All routers.
+    /// Number of routers in the order.
     pub routers: u64,
 }
 
-/// How far this router passes on what others reported.
+/// Whether this router relays termination reports received from others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Relaying {
-    /// Whoever sees an end tells all others itself.
+    /// No: the router that observes a termination reports it to all others.
     Nothing,
-    /// Each router tells a few others what it heard.
+    /// Yes: each router relays reports to a few others.
     All,
 }
--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -1,9 +1,9 @@
-//! Requests under which back ends ended, and those of them that are sent to no further one.
+//! Quarantine of requests that are suspected to crash back ends.
 //!
-//! Up to a whole back end's slots of requests are under way where one ends, and any of them may have ended it. A request is held to
-//! have done so once several lives of back ends ended under it and it was never served to its end in between: one that only happened
-//! to be there is served elsewhere, which clears it. Reports of ends are sets that merge in any order and name the life that ended, so
-//! that no end counts twice, however often and by whomever it is told.
+//! When a back end terminates, any of the requests in flight on it may be the cause. A request is
+//! quarantined after several incarnations terminated under it without it being served in between; a
+//! bystander is soon served elsewhere, which clears it. Reports name the terminated incarnation and
+//! form a set that merges in any order, so repeated reports count once.
 
 mod messages;
 mod reporting;
@@ -17,14 +17,14 @@
 use mastbay_types::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
-use suspicion::{End, Suspicion};
+use suspicion::{Suspicion, Termination};
 
 /// Settings of a [`Quarantine`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineLimits {
-    /// Lives of back ends that end under a request before it is quarantined.
+    /// Number of terminated incarnations after which a request is quarantined.
     pub ends: usize,
-    /// Time for which an end counts.
+    /// Time for which a termination counts.
     pub period: Duration,
 }
 
@@ -34,32 +34,34 @@
     }
 }
 
-/// Requests that are remembered; past this, those with the fewest ends are forgotten first, then the oldest. A back end that ends adds
-/// as many as it had slots.
-const MOST_REQUESTS: usize = 4_096;
-/// What a router knows of requests under which back ends ended.
+/// Maximum number of tracked requests. Beyond it, those with the fewest terminations are evicted
+/// first, the oldest of them first.
+const MAX_REQUESTS: usize = 4_096;
+
+/// Tracks requests under which back ends terminated.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     limits: QuarantineLimits,
     requests: HashMap<RequestFingerprint, Suspicion>,
-    /// Ends that are still to be told to others.
-    news: GossipQueue<(RequestFingerprint, EngineKey)>,
+    /// Terminations that are still to be reported to peers.
+    pending_reports: GossipQueue<(RequestFingerprint, EngineKey)>,
     round: u64,
-    reminded: usize,
+    /// Position of the next reminder among the quarantined requests.
+    reminder_offset: usize,
 }
 
 impl Quarantine {
-    /// Nothing is known yet.
+    /// Creates a quarantine without any tracked request.
     pub fn new(limits: QuarantineLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Whether nothing speaks against any request.
+    /// Returns whether no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// What is known of a request.
+    /// Returns the status of a request.
     pub fn status(&self, now: Timestamp, request: RequestFingerprint) -> QuarantineStatus {
         let Some(suspicion) = self.requests.get(&request) else { return QuarantineStatus::Clear };
         if let Some(until) = suspicion.quarantined_until(now, &self.limits) {
@@ -73,24 +75,25 @@
         }
     }
 
-    /// Lets a quarantined request through once in this router's turn. One that only happened to be where back ends ended is served and
-    /// cleared by that; one that ends a further back end is probed again after a long pause only.
+    /// Returns whether to let a quarantined request through as a probe, in this router's slot. A
+    /// probe that is served clears the request; a further termination delays the next probe.
     pub fn take_probe(
         &mut self,
         now: Timestamp,
         request: RequestFingerprint,
-        turn: ProbeSlot,
+        slot: ProbeSlot,
     ) -> bool {
         let suspicion = self.requests.get_mut(&request);
-        suspicion.is_some_and(|suspicion| suspicion.take_probe(now, &self.limits, turn))
+        suspicion.is_some_and(|suspicion| suspicion.take_probe(now, &self.limits, slot))
     }
 
-    /// Ends that count against a request.
+    /// Returns the number of terminations that count against a request.
     pub fn terminations(&self, now: Timestamp, request: RequestFingerprint) -> usize {
         self.requests.get(&request).map_or(0, |suspicion| suspicion.counted(now).count())
     }
 
-    /// A back end ended under a request of this router. Gives the request if it is quarantined by that.
+    /// Records that a back end terminated while a request of this router was in flight on it.
+    /// Returns the request if this quarantines it.
     pub fn on_termination(
         &mut self,
         now: Timestamp,
@@ -98,48 +101,52 @@
         request: RequestFingerprint,
     ) -> Option<QuarantinedRequest> {
         let until = now + self.limits.period;
-        self.merge(now, request, back_end, End { until, is_cleared: false }, TRANSMISSIONS)
+        self.merge(now, request, back_end, Termination { until, is_cleared: false }, TRANSMISSIONS)
     }
 
-    /// A request was served to its end, so no end before that was its doing; or an operator lifts its quarantine.
+    /// Clears all terminations of a request that was served, or whose quarantine an operator lifts.
     pub fn clear(&mut self, request: RequestFingerprint) {
         let Some(suspicion) = self.requests.get_mut(&request) else { return };
-        let news = &mut self.news;
-        for (back_end, end) in suspicion.ends.iter_mut().filter(|(_, end)| !end.is_cleared) {
-            end.is_cleared = true;
-            news.push((request, *back_end), TRANSMISSIONS);
+        let pending = &mut self.pending_reports;
+        for (back_end, termination) in
+            suspicion.terminations.iter_mut().filter(|(_, known)| !known.is_cleared)
+        {
+            termination.is_cleared = true;
+            pending.push((request, *back_end), TRANSMISSIONS);
         }
     }
 
-    /// Another router reports ends. Gives the requests that are quarantined by that.
+    /// Merges reports of another router. Returns the requests that this quarantines.
     pub fn on_reports(
         &mut self,
         now: Timestamp,
         reports: &[TerminationReport],
         relaying: Relaying,
     ) -> Vec<QuarantinedRequest> {
-        let tellings = if relaying == Relaying::All { TRANSMISSIONS } else { 0 };
+        let transmissions = if relaying == Relaying::All { TRANSMISSIONS } else { 0 };
         let merged = reports.iter().filter_map(|report| {
             let counts_for = Duration::from_millis(report.counts_for_ms.into());
             let until = now + counts_for.min(self.limits.period);
-            let end = End { until, is_cleared: report.is_cleared };
-            self.merge(now, report.request, report.back_end, end, tellings)
+            let termination = Termination { until, is_cleared: report.is_cleared };
+            self.merge(now, report.request, report.back_end, termination, transmissions)
         });
         merged.collect()
     }
 
-    /// An archive lists a request as quarantined. Gives whether that was news.
+    /// Merges an entry of an archive of quarantined requests. Returns whether the request was not
+    /// quarantined before.
     pub fn on_listed(&mut self, now: Timestamp, listed: &QuarantinedRequest) -> bool {
-        let mut is_news = false;
+        let mut is_new = false;
         for back_end in &listed.back_ends {
             let until = now + listed.left.min(self.limits.period);
-            let end = End { until, is_cleared: false };
-            is_news |= self.merge(now, listed.request, *back_end, end, TRANSMISSIONS).is_some();
+            let termination = Termination { until, is_cleared: false };
+            is_new |=
+                self.merge(now, listed.request, *back_end, termination, TRANSMISSIONS).is_some();
         }
-        is_news
+        is_new
     }
 
-    /// The requests that are quarantined.
+    /// Returns the quarantined requests, sorted by fingerprint.
     pub fn quarantined(&self, now: Timestamp) -> Vec<QuarantinedRequest> {
         let all = self.requests.iter();
         let mut quarantined: Vec<QuarantinedRequest> = all
@@ -149,44 +156,46 @@
         quarantined
     }
 
-    /// Forgets ends that no longer count.
+    /// Removes terminations that no longer count.
     pub fn expire(&mut self, now: Timestamp) {
         for suspicion in self.requests.values_mut() {
-            suspicion.ends.retain(|_, end| end.until > now);
+            suspicion.terminations.retain(|_, termination| termination.until > now);
         }
-        self.requests.retain(|_, suspicion| !suspicion.ends.is_empty());
+        self.requests.retain(|_, suspicion| !suspicion.terminations.is_empty());
     }
 
-    /// Takes what is known of one end. That it was cleared holds against all else. Gives the request if it is quarantined by that.
+    /// Merges one termination; a cleared state overrides an uncleared one. Returns the request if
+    /// this quarantines it.
     fn merge(
         &mut self,
         now: Timestamp,
         request: RequestFingerprint,
         back_end: EngineKey,
-        end: End,
-        tellings: u32,
+        termination: Termination,
+        transmissions: u32,
     ) -> Option<QuarantinedRequest> {
-        if end.until <= now {
+        if termination.until <= now {
             return None;
         }
-        self.make_room(&request);
+        self.evict_for(&request);
         let limits = self.limits;
         let suspicion = self.requests.entry(request).or_default();
         let was_quarantined = suspicion.quarantined_until(now, &limits).is_some();
-        let known = suspicion.ends.get(&back_end).copied();
-        if known.is_some_and(|known| known.is_cleared && !end.is_cleared) {
-            // Whoever tells this has missed that it was cleared.
-            self.news.push((request, back_end), 1);
+        let known = suspicion.terminations.get(&back_end).copied();
+        if known.is_some_and(|known| known.is_cleared && !termination.is_cleared) {
+            // The sender has missed that the termination was cleared.
+            self.pending_reports.push((request, back_end), 1);
             return None;
         }
-        if known.is_some_and(|known| known.is_cleared == end.is_cleared) {
+        if known.is_some_and(|known| known.is_cleared == termination.is_cleared) {
             return None;
         }
-        let until = known.map_or(end.until, |known| known.until);
-        suspicion.ends.insert(back_end, End { until, ..end });
-        self.news.push((request, back_end), tellings);
+        let until = known.map_or(termination.until, |known| known.until);
+        suspicion.terminations.insert(back_end, Termination { until, ..termination });
+        self.pending_reports.push((request, back_end), transmissions);
         let quarantined = self.as_quarantined(now, request, self.requests.get(&request)?)?;
-        if let Some(suspicion) = self.requests.get_mut(&request).filter(|_| !end.is_cleared) {
+        if let Some(suspicion) = self.requests.get_mut(&request).filter(|_| !termination.is_cleared)
+        {
             suspicion.since = Some(now);
             suspicion.probed = None;
         }
@@ -204,17 +213,17 @@
         Some(QuarantinedRequest { request, back_ends, left: until.since(now) })
     }
 
-    /// Forgets the request that matters least, if one more would be too many.
-    fn make_room(&mut self, coming: &RequestFingerprint) {
-        if self.requests.len() < MOST_REQUESTS || self.requests.contains_key(coming) {
+    /// Evicts a request if tracking `new` would exceed the maximum.
+    fn evict_for(&mut self, new: &RequestFingerprint) {
+        if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(new) {
             return;
         }
-        let worth = |suspicion: &Suspicion| {
-            let counted = suspicion.ends.values().filter(|end| !end.is_cleared).count();
+        let priority = |suspicion: &Suspicion| {
+            let counted = suspicion.terminations.values().filter(|known| !known.is_cleared).count();
             (counted, suspicion.latest())
         };
-        let least = self.requests.iter().min_by_key(|(_, suspicion)| worth(suspicion));
-        if let Some(request) = least.map(|(request, _)| *request) {
+        let lowest = self.requests.iter().min_by_key(|(_, suspicion)| priority(suspicion));
+        if let Some(request) = lowest.map(|(request, _)| *request) {
             self.requests.remove(&request);
         }
     }
--- a/crates/routing/src/quarantine/suspicion.rs
+++ b/crates/routing/src/quarantine/suspicion.rs
@@ -1,4 +1,4 @@
-//! What is known of one request under which back ends ended, and when it may be probed.
+//! Terminations under one request, and when the request may be probed.
 
 use super::{ProbeSlot, QuarantineLimits};
 use crate::load_stats::EngineKey;
@@ -7,83 +7,84 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Time in which one router of the fleet may probe a quarantined request, one after the other in an order that all know. It is long
-/// enough for all to hear what came of the probe before.
+/// Time in which one router may probe a quarantined request. Routers take turns in a common order;
+/// a window is long enough for all of them to learn the outcome of the previous probe.
 const PROBE_WINDOW: Duration = Duration::from_millis(1_200);
-/// Time after the first end beyond those that quarantine a request in which it isn't probed; ten times as long after each further one. A probe may be
-/// where a back end ends by another's doing: without a further one an innocent request stayed out for the whole period (soak, two of 17 seeds).
-const PROBE_PAUSE: Duration = Duration::from_secs(30);
-/// Part of the window in which a probe may begin: routers learn of a quarantine some tenths of a second apart.
-const PROBE_OPEN: Range<Duration> = Duration::from_millis(300)..Duration::from_millis(700);
+/// Time without probes after the first termination beyond the limit; ten times as long after each
+/// further one. The first is short because a probe may coincide with an unrelated termination.
+const PROBE_BACKOFF: Duration = Duration::from_secs(30);
+/// Range within a window in which a probe may start. The margins cover the delay with which routers
+/// learn of a quarantine.
+const PROBE_START: Range<Duration> = Duration::from_millis(300)..Duration::from_millis(700);
 
-/// An end that counts or was cleared.
+/// Termination of a back end while a request was in flight.
 #[derive(Debug, Clone, Copy)]
-pub struct End {
-    /// Until when it counts.
+pub struct Termination {
+    /// Until when it counts against the request.
     pub until: Timestamp,
-    /// Whether the request was served to its end since.
+    /// Whether the request has been served since.
     pub is_cleared: bool,
 }
 
-/// What is known of one request.
+/// Terminations under one request.
 #[derive(Debug, Default)]
 pub struct Suspicion {
-    /// The lives of back ends that ended under it.
-    pub ends: BTreeMap<EngineKey, End>,
-    /// When this router learned of the last end that quarantines it, or came on top.
+    /// Terminations by incarnation.
+    pub terminations: BTreeMap<EngineKey, Termination>,
+    /// When this router learned of the last termination that quarantined the request or came later.
     pub since: Option<Timestamp>,
-    /// The window in which this router probed it last.
+    /// Window in which this router last probed the request.
     pub probed: Option<u64>,
 }
 
 impl Suspicion {
-    /// The ends that count.
-    pub fn counted(&self, now: Timestamp) -> impl Iterator<Item = (&EngineKey, &End)> {
-        self.ends.iter().filter(move |(_, end)| !end.is_cleared && end.until > now)
+    /// Returns the terminations that count against the request.
+    pub fn counted(&self, now: Timestamp) -> impl Iterator<Item = (&EngineKey, &Termination)> {
+        self.terminations.iter().filter(move |(_, known)| !known.is_cleared && known.until > now)
     }
 
-    /// Until when the limit is reached, if it is.
+    /// Returns until when the request is quarantined, or `None` if it is not.
     pub fn quarantined_until(
         &self,
         now: Timestamp,
         limits: &QuarantineLimits,
     ) -> Option<Timestamp> {
-        let mut until: Vec<Timestamp> = self.counted(now).map(|(_, end)| end.until).collect();
+        let mut until: Vec<Timestamp> = self.counted(now).map(|(_, known)| known.until).collect();
         until.sort_unstable_by(|left, right| right.cmp(left));
         until.get(limits.ends.max(1) - 1).copied()
     }
 
-    /// When it may be probed from, if it is quarantined.
+    /// Returns from when the request may be probed, if it is quarantined.
     fn probed_from(&self, now: Timestamp, limits: &QuarantineLimits) -> Option<Timestamp> {
-        let further_ends = self.counted(now).count().saturating_sub(limits.ends);
-        Some(self.since? + probe_pause(further_ends))
+        let excess = self.counted(now).count().saturating_sub(limits.ends);
+        Some(self.since? + probe_backoff(excess))
     }
 
-    /// Time until it may be probed, one window at least.
+    /// Returns the time until the request may be probed, at least one window.
     pub fn until_probes(&self, now: Timestamp, limits: &QuarantineLimits) -> Duration {
         let from = self.probed_from(now, limits).unwrap_or(now);
         from.since(now).max(PROBE_WINDOW)
     }
 
-    /// The last moment at which any of its ends counts.
+    /// Returns the time at which the last termination stops counting.
     pub fn latest(&self) -> Timestamp {
-        self.ends.values().map(|end| end.until).max().unwrap_or_default()
+        self.terminations.values().map(|known| known.until).max().unwrap_or_default()
     }
 
-    /// Takes this router's turn to probe it, if that is now.
+    /// Returns whether this router may probe the request now, and marks its window as used.
     pub fn take_probe(
         &mut self,
         now: Timestamp,
         limits: &QuarantineLimits,
-        turn: ProbeSlot,
+        slot: ProbeSlot,
     ) -> bool {
         let from = self.probed_from(now, limits);
         let Some(from) = from.filter(|from| *from <= now) else { return false };
         let waited = now.since(from);
         let window = (waited.as_micros() / PROBE_WINDOW.as_micros()) as u64;
         let into_window = waited - PROBE_WINDOW * u32::try_from(window).unwrap_or(u32::MAX);
-        let is_turn = window % turn.routers.max(1) == turn.index;
-        if !is_turn || !PROBE_OPEN.contains(&into_window) || self.probed == Some(window) {
+        let is_own_window = window % slot.routers.max(1) == slot.index;
+        if !is_own_window || !PROBE_START.contains(&into_window) || self.probed == Some(window) {
             return false;
         }
         self.probed = Some(window);
@@ -91,12 +92,12 @@
     }
 }
 
-/// Time without a probe after so many ends beyond those that quarantine a request.
-fn probe_pause(further_ends: usize) -> Duration {
-    match u32::try_from(further_ends) {
+/// Returns the time without probes after a number of terminations beyond the limit.
+fn probe_backoff(excess: usize) -> Duration {
+    match u32::try_from(excess) {
         Ok(0) => Duration::ZERO,
-        Ok(further) => PROBE_PAUSE.saturating_mul(10_u32.saturating_pow(further - 1)),
-        // More ends than any period holds.
-        Err(_) => PROBE_PAUSE.saturating_mul(u32::MAX),
+        Ok(excess) => PROBE_BACKOFF.saturating_mul(10_u32.saturating_pow(excess - 1)),
+        // Longer than any quarantine period.
+        Err(_) => PROBE_BACKOFF.saturating_mul(u32::MAX),
     }
 }
