--- a/crates/routing/src/rollout/counts.rs
+++ b/crates/routing/src/rollout/counts.rs
@@ -1,56 +1,55 @@
-//! Counts of good and bad answers of both sides of a roll-out, by route.
+//! Counts of good and bad answers on both sides of a roll-out, by route.
 
 use super::{AnswerOutcome, Side};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Times of the usual time to the first byte from which on an answer is slow. A version that is several times slower exceeds this with
-/// most answers, and the usual spread of answers seldom does; those that do on the old side are held against it.
-const SLOW_TIMES: f64 = 2.5;
-/// Answers over which the usual time moves to a new mean.
-const USUAL_GAIN: f64 = 0.05;
+/// Factor over the typical time to the first byte from which an answer is slow.
+const SLOW_FACTOR: f64 = 2.5;
+/// Weight of one answer in the moving average of the typical time.
+const TYPICAL_TIME_SMOOTHING: f64 = 0.05;
 
-/// Answers, and the bad ones among them.
+/// Number of answers and of bad ones among them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct AnswerCounts {
-    /// All answers, and requests that never got one.
+    /// All answers, including requests that were never answered.
     pub answers: u32,
-    /// Those that failed, were slow or never came.
+    /// Answers that failed, were slow or never arrived.
     pub bad: u32,
 }
 
 impl AnswerCounts {
-    /// Adds another one.
+    /// Adds other counts, saturating.
     pub fn add(&mut self, other: Self) {
         self.answers = self.answers.saturating_add(other.answers);
         self.bad = self.bad.saturating_add(other.bad);
     }
 }
 
-/// Counts of both sides.
+/// Answer counts of both sides of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ReleaseCounts {
-    /// The versions that were there before.
+    /// Counts of the previous versions.
     pub baseline: AnswerCounts,
-    /// The version that is rolled out.
+    /// Counts of the version that is rolled out.
     pub canary: AnswerCounts,
 }
 
 impl ReleaseCounts {
-    /// Adds others.
+    /// Adds other counts, saturating.
     pub fn add(&mut self, other: Self) {
         self.baseline.add(other.baseline);
         self.canary.add(other.canary);
     }
 }
 
-/// What one router, or several, counted of an order on one route. Counts are of the whole time since the order, so a lost or repeated
-/// message does no harm.
+/// Answer counts of an order on one route, from one or several routers. They cover the whole time
+/// since the order, which makes lost and repeated messages harmless.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseReport {
-    /// The order's key.
+    /// Key of the order, see [`super::RolloutOrder::key`].
     pub order: u32,
-    /// A hash of the route's name.
+    /// Hash of the route's name.
     pub route: u32,
     /// The counts.
     pub counts: ReleaseCounts,
@@ -59,25 +58,27 @@
 #[derive(Debug, Default)]
 struct RouteCounts {
     counts: ReleaseCounts,
-    /// The usual time of answers of the versions before.
-    usual: Option<f64>,
+    /// Moving average of the answer time of the baseline, in multiples of the expected time.
+    typical_time: Option<f64>,
 }
 
-/// What this router counted, by route.
+/// Answer counts of this router by route.
 #[derive(Debug, Default)]
 pub struct OwnCounts(BTreeMap<u32, RouteCounts>);
 
 impl OwnCounts {
-    /// A request was answered, or was not.
+    /// Records the outcome of a request.
     pub fn on_answer(&mut self, route: u32, side: Side, answer: AnswerOutcome) {
         let counted = self.0.entry(route).or_default();
         let is_bad = match answer {
             AnswerOutcome::Failed => true,
             AnswerOutcome::Answered(time) => {
-                let is_slow = counted.usual.is_some_and(|usual| time > usual * SLOW_TIMES);
+                let is_slow =
+                    counted.typical_time.is_some_and(|typical| time > typical * SLOW_FACTOR);
                 if side == Side::Baseline {
-                    let usual = counted.usual.get_or_insert(time);
-                    *usual += USUAL_GAIN * (time.min(*usual * SLOW_TIMES) - *usual);
+                    let typical = counted.typical_time.get_or_insert(time);
+                    *typical +=
+                        TYPICAL_TIME_SMOOTHING * (time.min(*typical * SLOW_FACTOR) - *typical);
                 }
                 is_slow
             }
@@ -89,7 +90,7 @@
         counts.add(AnswerCounts { answers: 1, bad: u32::from(is_bad) });
     }
 
-    /// The counts as they are told to others.
+    /// Returns the counts as reported to peers.
     pub fn reports(&self, order: u32) -> impl Iterator<Item = ReleaseReport> {
         self.0.iter().map(move |(route, counted)| ReleaseReport {
             order,
--- a/crates/routing/src/rollout/evaluation.rs
+++ b/crates/routing/src/rollout/evaluation.rs
@@ -1,40 +1,40 @@
-//! Whether a version is bad: compared with those beside it, at the same time and on the same routes.
-//!
-//! A bad day of everyone is no bad version, so the share of bad answers of the other versions is what is expected of this one.
+//! Evaluates a canary by comparing its bad answers with those of the other versions at the same
+//! time and on the same routes, which excludes faults that affect all versions.
 
 use super::counts::{ReleaseCounts, ReleaseReport};
 
-/// What the counts say of a version.
+/// Result of evaluating a canary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CanaryEvaluation {
-    /// It answers worse than the versions beside it.
+    /// It answers significantly worse than the other versions.
     Bad,
-    /// It answers as they do.
+    /// It answers as well as the other versions.
     Good,
-    /// It has not answered often enough to tell.
+    /// It has not answered enough requests.
     Unclear,
 }
 
-/// Standard deviations above what is expected from which on bad answers are no chance. Counts are looked at a dozen times a second on a
-/// few routes.
+/// Standard deviations above the expected number of bad answers from which a canary is bad. High,
+/// as the counts are tested many times a second on several routes.
 const DEVIATIONS: f64 = 3.5;
-/// Bad answers beyond what is expected and its deviations: a few may come together by one cause that is not the version.
-const LEAST_EXCESS: f64 = 4.0;
-/// Share of bad answers expected where the other versions have answered too little to tell.
-const PRIOR_SHARE: f64 = 0.05;
-/// Answers that this expectation weighs as much as.
+/// Minimum number of bad answers beyond the expected number and its deviations. Tolerates a few
+/// failures with a common cause outside the version.
+const MIN_EXCESS: f64 = 4.0;
+/// Prior fraction of bad answers, used while the other versions have few answers.
+const PRIOR_FRACTION: f64 = 0.05;
+/// Number of answers that the prior weighs as much as.
 const PRIOR_ANSWERS: f64 = 20.0;
-/// Answers from which on a version without a sign of badness counts as good.
-const ENOUGH_ANSWERS: u32 = 20;
+/// Minimum number of answers of a good canary.
+const MIN_ANSWERS: u32 = 20;
 
-/// Judges an order by the reports on it: over all routes and on each of them.
-pub fn judge(reports: &[&ReleaseReport]) -> CanaryEvaluation {
+/// Evaluates a canary by the reports on its order, both per route and over all routes.
+pub fn evaluate_canary(reports: &[&ReleaseReport]) -> CanaryEvaluation {
     let mut all = ReleaseCounts::default();
     reports.iter().for_each(|report| all.add(report.counts));
     let is_bad_on_one = reports.iter().any(|report| is_bad(report.counts));
     if is_bad_on_one || is_bad(all) {
         CanaryEvaluation::Bad
-    } else if all.canary.answers >= ENOUGH_ANSWERS {
+    } else if all.canary.answers >= MIN_ANSWERS {
         CanaryEvaluation::Good
     } else {
         CanaryEvaluation::Unclear
@@ -43,9 +43,9 @@
 
 fn is_bad(ReleaseCounts { baseline, canary }: ReleaseCounts) -> bool {
     let answers = f64::from(canary.answers);
-    let share = (f64::from(baseline.bad) + PRIOR_SHARE * PRIOR_ANSWERS)
+    let fraction = (f64::from(baseline.bad) + PRIOR_FRACTION * PRIOR_ANSWERS)
         / (f64::from(baseline.answers) + PRIOR_ANSWERS);
-    let expected = answers * share;
-    let deviation = (answers * share * (1.0 - share).max(0.0)).sqrt();
-    f64::from(canary.bad) > expected + DEVIATIONS * deviation + LEAST_EXCESS
+    let expected = answers * fraction;
+    let deviation = (answers * fraction * (1.0 - fraction).max(0.0)).sqrt();
+    f64::from(canary.bad) > expected + DEVIATIONS * deviation + MIN_EXCESS
 }
--- a/crates/routing/src/rollout/exposure.rs
+++ b/crates/routing/src/rollout/exposure.rs
@@ -1,13 +1,13 @@
-//! How many requests a router may send to a version that is not judged yet.
+//! Limits the number of requests that are sent to a canary version.
 
 use super::Side;
 
-/// Bounds on what a version that turns out bad may have been sent, over the whole fleet.
+/// Fleet-wide limits on the requests sent to a version that is still being evaluated.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExposureLimits {
-    /// Part of the service's requests.
+    /// Maximum fraction of the service's requests.
     pub share: f64,
-    /// Requests beyond that part.
+    /// Number of requests allowed beyond that fraction.
     pub burst: f64,
 }
 
@@ -17,35 +17,38 @@
     }
 }
 
-/// Part of the bound that is used: routers count sends, and a back end that takes none may be tried in vain beside them.
-const USED: f64 = 0.7;
-/// Routers may know each other only in part, so that more share the burst than each of them believes.
+/// Fraction of the share that is used. The rest covers attempts at other back ends that are not
+/// counted as sent.
+const SHARE_USED: f64 = 0.7;
+/// Fraction of the burst that is used. The rest covers routers that this one does not know.
 const BURST_USED: f64 = 0.5;
-/// Part of an order's time in which the first, smaller part of the share is used.
+/// Fraction of an order's duration that the first stage takes.
 const FIRST_STAGE: f64 = 0.25;
-/// Part of the share in the first stage: a version that fails from the start meets fewer callers.
-const FIRST_STAGE_SHARE: f64 = 0.4;
+/// Fraction of the limits used in the first stage, to expose fewer clients to a version that fails
+/// from the start.
+const FIRST_STAGE_FRACTION: f64 = 0.4;
 
-/// What this router sent to either side since the order.
+/// Number of requests that this router has sent to each side since the order.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Exposure {
-    before: u64,
+    baseline: u64,
     canary: u64,
 }
 
 impl Exposure {
-    /// A request was sent.
+    /// Records a request sent to a side.
     pub fn on_sent(&mut self, side: Side) {
         match side {
-            Side::Baseline => self.before += 1,
+            Side::Baseline => self.baseline += 1,
             Side::Canary => self.canary += 1,
         }
     }
 
-    /// Whether one more may go to the canary after `elapsed` of the order's time, a part of it.
+    /// Returns whether one more request may be sent to the canary. `elapsed` is a fraction of the
+    /// order's duration; `routers` share the burst.
     pub fn allows(&self, limits: ExposureLimits, elapsed: f64, routers: usize) -> bool {
-        let stage = if elapsed < FIRST_STAGE { FIRST_STAGE_SHARE } else { 1.0 };
-        let of_share = (self.before + self.canary) as f64 * limits.share * USED * stage;
+        let stage = if elapsed < FIRST_STAGE { FIRST_STAGE_FRACTION } else { 1.0 };
+        let of_share = (self.baseline + self.canary) as f64 * limits.share * SHARE_USED * stage;
         let of_burst = limits.burst * BURST_USED * stage / routers.max(1) as f64;
         (self.canary + 1) as f64 <= of_share + of_burst
     }
--- a/crates/routing/src/rollout/mod.rs
+++ b/crates/routing/src/rollout/mod.rs
@@ -1,9 +1,9 @@
-//! Roll-outs: a service's traffic moves to back ends of another version, by way of a canary.
+//! Roll-outs: a service's requests move to back ends of another version after a canary phase.
 //!
-//! From the order on, a bounded part of the requests goes to the new version. Each router keeps to its own part of that bound, counted on
-//! what it sends itself, so the fleet keeps to the whole without asking anybody. What the answers were like, of the new version and of
-//! those beside it at the same time and on the same route, is added up over the fleet with the other figures. A version that is found
-//! bad gets nothing from then on; one that is found good takes all when the time of the order is nearly over.
+//! Each router sends a limited fraction of its own requests to the new version, which keeps the
+//! fleet within the limit without coordination. Answer counts of the new and the other versions are
+//! summed over the fleet. A bad version receives no further requests; a good one receives all of
+//! them shortly before the order ends.
 
 mod counts;
 mod evaluation;
@@ -23,28 +23,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time before the end of an order at which its verdict is due: it has to be written and heard everywhere by then.
-const VERDICT_MARGIN: Duration = Duration::from_millis(1_500);
-/// Time after a version has taken all traffic in which back ends of other versions end without saying so. Those that are there later
-/// belong to no order.
-const OTHERS_END: Duration = Duration::from_secs(10);
-/// The largest part of an order's time that the margin takes.
-const LARGEST_MARGIN_PART: f64 = 0.25;
+/// Time before the end of an order at which the decision is made, so that it is recorded and known
+/// to all routers by the end.
+const DECISION_MARGIN: Duration = Duration::from_millis(1_500);
+/// Time after completion in which requests still go to the new version only, as back ends of other
+/// versions may terminate without announcing it. Later ones belong to no order.
+const OTHERS_EXCLUDED: Duration = Duration::from_secs(10);
+/// Maximum margin as a fraction of the order's duration.
+const MAX_MARGIN_FRACTION: f64 = 0.25;
 
-/// The versions of a service to which a request may go.
+/// The versions of a service that may serve a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub enum VersionFilter {
-    /// Any.
+    /// Any version.
     #[default]
     Any,
-    /// This one.
+    /// This version only.
     Only(Arc<str>),
-    /// All but this one.
+    /// All versions but this one.
     Except(Arc<str>),
 }
 
 impl VersionFilter {
-    /// Whether a back end of a version may serve.
+    /// Returns whether a back end of a version may serve the request.
     pub fn allows(&self, version: &str) -> bool {
         match self {
             Self::Any => true,
@@ -54,36 +55,37 @@
     }
 }
 
-/// Which side of a roll-out a request was sent to.
+/// Side of a roll-out that a request was sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Side {
-    /// The versions that were there before.
+    /// A previous version.
     Baseline,
     /// The version that is rolled out.
     Canary,
 }
 
-/// A state that is to be recorded where the order lies.
+/// A state to be recorded in the object that holds the order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutRecord {
-    /// The order as it was read; nothing is recorded on a newer one.
+    /// The order as read; the state must not be recorded if the object has changed since.
     pub order: RolloutOrder,
-    /// The state.
+    /// The new state.
     pub state: RolloutState,
 }
 
-/// One order under way, as one router sees it.
+/// One order in progress as seen by this router.
 #[derive(Debug)]
 pub struct Rollout {
     order: RolloutOrder,
-    /// The state that its newest entry records.
+    /// State recorded in the latest entry.
     recorded: RolloutState,
     began: Timestamp,
     exposure: Exposure,
     own: OwnCounts,
-    /// When it was learned that the order came to its end.
+    /// When this router learned of the final state.
     ended: Option<Timestamp>,
-    /// The version was found bad here or elsewhere. Never taken back: figures of routers that are gone no longer count.
+    /// Whether the version was found bad. Never reset, as the counts of routers that have left the
+    /// fleet are no longer included.
     is_bad: bool,
 }
 
@@ -106,9 +108,9 @@
         Self { order, ended, recorded: entry.state, ..self }
     }
 
-    /// Where requests go that are not part of the canary.
+    /// Returns the versions that may serve requests outside the canary.
     pub fn default_filter(&self, now: Timestamp) -> VersionFilter {
-        let is_recent = self.ended.is_some_and(|ended| now.since(ended) < OTHERS_END);
+        let is_recent = self.ended.is_some_and(|ended| now.since(ended) < OTHERS_EXCLUDED);
         match self.order.state {
             RolloutState::Completed if is_recent => VersionFilter::Only(self.order.version.clone()),
             RolloutState::Completed => VersionFilter::Any,
@@ -116,54 +118,54 @@
         }
     }
 
-    /// Whether the next request may be sent to the new version. `routers` are those that share the bound.
+    /// Returns whether the next request may be sent to the canary. `routers` share the limits.
     pub fn may_expose(&self, now: Timestamp, limits: ExposureLimits, routers: usize) -> bool {
         let elapsed = now.since(self.began).as_secs_f64();
-        let part = elapsed / self.order.duration.as_secs_f64().max(f64::MIN_POSITIVE);
-        self.is_under_way() && self.exposure.allows(limits, part, routers)
+        let fraction = elapsed / self.order.duration.as_secs_f64().max(f64::MIN_POSITIVE);
+        self.is_under_way() && self.exposure.allows(limits, fraction, routers)
     }
 
     fn is_under_way(&self) -> bool {
         !self.is_bad && !self.order.state.is_final()
     }
 
-    /// The side on which a back end is.
+    /// Returns the side that a back end belongs to.
     pub fn side(&self, back_end: &BackEnd) -> Side {
         if *back_end.version == *self.order.version { Side::Canary } else { Side::Baseline }
     }
 
-    /// A request was sent.
+    /// Records a request sent to a side.
     pub fn on_sent(&mut self, side: Side) {
         self.exposure.on_sent(side);
     }
 
-    /// A request was answered, or was not.
+    /// Records the outcome of a request.
     pub fn on_answer(&mut self, route: u32, side: Side, answer: AnswerOutcome) {
         self.own.on_answer(route, side, answer);
     }
 
-    /// What this router counted.
+    /// Returns the answer counts of this router.
     fn reports(&self) -> impl Iterator<Item = ReleaseReport> {
         self.own.reports(self.order.key())
     }
 
-    /// Looks at what the whole fleet counted. Gives what is to be recorded, if anything is.
-    fn judge(&mut self, now: Timestamp, fleet: &[ReleaseReport]) -> Option<RolloutState> {
+    /// Evaluates the canary by the counts of the whole fleet. Returns the state to be recorded.
+    fn evaluate(&mut self, now: Timestamp, fleet: &[ReleaseReport]) -> Option<RolloutState> {
         if self.order.state.is_final() {
-            // A restored source may have lost the end.
+            // A restored source may have lost the final state.
             return (self.recorded != self.order.state).then_some(self.order.state);
         }
         let key = self.order.key();
         let of_order: Vec<&ReleaseReport> =
             fleet.iter().filter(|report| report.order == key).collect();
-        let judgement = evaluation::judge(&of_order);
-        self.is_bad |= judgement == CanaryEvaluation::Bad;
+        let evaluation = evaluation::evaluate_canary(&of_order);
+        self.is_bad |= evaluation == CanaryEvaluation::Bad;
         if self.is_bad {
             return Some(RolloutState::Reverted);
         }
-        let margin = VERDICT_MARGIN.min(self.order.duration.mul_f64(LARGEST_MARGIN_PART));
+        let margin = DECISION_MARGIN.min(self.order.duration.mul_f64(MAX_MARGIN_FRACTION));
         if now.since(self.began) + margin >= self.order.duration {
-            return Some(match judgement {
+            return Some(match evaluation {
                 CanaryEvaluation::Good => RolloutState::Completed,
                 CanaryEvaluation::Bad | CanaryEvaluation::Unclear => RolloutState::Reverted,
             });
@@ -172,23 +174,23 @@
     }
 }
 
-/// What an answer was like.
+/// Outcome of a request for the evaluation of a canary.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AnswerOutcome {
-    /// It came; the time is that to its first byte, in times of what such a request was expected to take.
+    /// Answered; holds the time to the first byte in multiples of the expected time.
     Answered(f64),
-    /// It failed or never came.
+    /// Failed or never answered.
     Failed,
 }
 
-/// The orders under way, by service.
+/// Roll-outs in progress, by service.
 #[derive(Debug, Default)]
 pub struct RolloutRegistry {
     rollouts: BTreeMap<String, Rollout>,
 }
 
 impl RolloutRegistry {
-    /// Takes the orders as they stand now. One that goes on keeps what was counted; another one begins anew.
+    /// Replaces the orders. The counts of orders that continue are kept; others start at zero.
     pub fn on_orders(&mut self, now: Timestamp, orders: &Rollouts) {
         let mut known = std::mem::take(&mut self.rollouts);
         for order in &orders.orders {
@@ -201,32 +203,32 @@
         }
     }
 
-    /// The roll-out of a service, if there is one.
+    /// Returns the roll-out of a service.
     pub fn of(&self, service: &str) -> Option<&Rollout> {
         self.rollouts.get(service)
     }
 
-    /// The same, to count at.
+    /// Returns the roll-out of a service for recording requests and answers.
     pub fn of_mut(&mut self, service: &str) -> Option<&mut Rollout> {
         self.rollouts.get_mut(service)
     }
 
-    /// What this router counted of all roll-outs.
+    /// Returns the answer counts of this router for all roll-outs.
     pub fn reports(&self) -> Vec<ReleaseReport> {
         self.rollouts.values().flat_map(Rollout::reports).collect()
     }
 
-    /// Judges all roll-outs by what the fleet counted, and gives the states that are to be recorded.
+    /// Evaluates all roll-outs by the counts of the fleet. Returns the states to be recorded.
     pub fn evaluate(&mut self, now: Timestamp, fleet: &[ReleaseReport]) -> Vec<RolloutRecord> {
         let rollouts = self.rollouts.values_mut();
         let records = rollouts.filter_map(|rollout| {
-            let state = rollout.judge(now, fleet)?;
+            let state = rollout.evaluate(now, fleet)?;
             Some(RolloutRecord { order: rollout.order.clone(), state })
         });
         records.collect()
     }
 
-    /// Whether there is none.
+    /// Returns whether there is no order.
     pub fn is_empty(&self) -> bool {
         self.rollouts.is_empty()
     }
--- a/crates/routing/src/rollout/order.rs
+++ b/crates/routing/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! The operator's orders.
+//! Roll-out orders of operators.
 
 use crate::revision::Revision;
 use mastbay_types::short_hash;
@@ -6,21 +6,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How far a roll-out is, as recorded.
+/// Recorded progress of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// Ordered; nothing is recorded.
+    /// Ordered; no progress has been recorded yet.
     Ordered,
-    /// The canary is judged.
+    /// The canary is being evaluated.
     InProgress,
-    /// All traffic goes to the new version.
+    /// All requests go to the new version.
     Completed,
-    /// None does.
+    /// No request goes to the new version.
     Reverted,
 }
 
 impl RolloutState {
-    /// Whether it stays as it is.
+    /// Returns whether the state can no longer change.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Reverted)
     }
@@ -29,24 +29,24 @@
 /// An order to move a service to back ends of a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The name of the object in which it lies.
+    /// Name of the object that holds the order.
     pub name: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The version.
+    /// Version to roll out.
     pub version: Arc<str>,
-    /// Tells one order from a later one with the same words.
+    /// Distinguishes the order from a later one with the same content.
     pub number: u64,
     /// Time from the order to its end.
     pub duration: Duration,
-    /// What is recorded of it.
+    /// Recorded state.
     pub state: RolloutState,
-    /// The revision of its object.
+    /// Revision of the object.
     pub revision: Revision,
 }
 
 impl RolloutOrder {
-    /// Its name in messages between routers.
+    /// Returns the hash that identifies the order in messages between routers.
     pub fn key(&self) -> u32 {
         let parts = [
             self.service.as_bytes(),
@@ -57,12 +57,13 @@
         short_hash(&parts)
     }
 
-    /// Whether another entry is of the same order, at whatever state.
+    /// Returns whether two entries are of the same order, regardless of state.
     pub fn is_same(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 
-    /// The order with the state that a newer entry of it records. A final state is never taken back: a restored source may have lost it.
+    /// Returns the order with the state and revision of a newer entry. A final state is kept, as a
+    /// restored source may have lost it.
     pub fn with_state_of(self, newer: &Self) -> Self {
         let state = if self.state.is_final() { self.state } else { newer.state };
         Self { state, revision: newer.revision, ..self }
@@ -72,8 +73,8 @@
 /// All orders at one revision of their source.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Rollouts {
-    /// The source's revision; rises.
+    /// Revision of the source; increases with every change.
     pub revision: Revision,
-    /// The orders, one for a service at most.
+    /// The orders, at most one per service.
     pub orders: Vec<RolloutOrder>,
 }
