--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -1,62 +1,62 @@
-//! The routing configuration as a router holds it, whatever source it came from.
+//! The routing configuration, independent of the source that it comes from.
 
 use crate::regions::AllowedRegions;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What may be done with a request of a route.
+/// How the requests of a route may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Safe,
-    /// May run at most once.
+    /// Requests may run at most once.
     Unsafe,
-    /// Answered by a stream of events.
+    /// Requests are answered with a stream of events.
     Streaming,
 }
 
-/// A service to which a route sends requests, and its part of them.
+/// A service that receives requests of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its weight among the route's targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// A rule that sends requests to services.
+/// A rule that maps requests to services.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// The host that it serves, in lower case.
+    /// Host of the requests, in lower case.
     pub host: String,
-    /// The beginning of the paths that it serves.
+    /// Prefix of the requests' paths.
     pub path_prefix: String,
-    /// What may be done with its requests.
+    /// How its requests may be executed.
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Maximum time for which a request is held.
     pub timeout: Duration,
-    /// Time within which an answer, or a stream's first event, is in time.
+    /// Time within which the answer or the first event of a stream is in time.
     pub objective: Duration,
-    /// Longest pause between two events of a stream that is in time.
+    /// Maximum time between two events of a stream that is in time.
     pub pause_objective: Option<Duration>,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Services that take its requests.
+    /// Services that receive its requests.
     pub targets: Vec<Target>,
-    /// Most back ends to which one request is sent.
+    /// Maximum number of back ends that one request is sent to.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub public: bool,
-    /// Whether a stream may be taken up at another back end.
+    /// Whether a stream may be resumed at another back end.
     pub resumable: bool,
     /// Regions in which its requests may be served.
     pub regions: AllowedRegions,
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -69,22 +69,22 @@
 /// Limits of the model engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLimits {
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub batch: u32,
     /// Memory, in tokens.
     pub memory_tokens: u64,
-    /// Tokens in an event of a stream.
+    /// Number of tokens per streamed event.
     pub tokens_per_event: u32,
 }
 
-/// A service: back ends of one kind.
+/// A service: a set of equivalent back ends.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one back end takes from the whole fleet.
+    /// Maximum number of connections from the whole fleet to one back end.
     pub max_connections: u32,
-    /// Requests a second that a cold back end bears; nothing if it bears as many as a warm one.
+    /// Requests a second that a cold back end sustains; `None` if as many as a warm one.
     pub cold_rate: Option<f64>,
     /// Limits of its engines, if it serves models.
     pub engine: Option<EngineLimits>,
@@ -93,28 +93,29 @@
 /// A tenant and the keys of its callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Keys that its callers present.
+    /// Keys that authenticate its callers.
     pub keys: Vec<String>,
-    /// Rank before that of the route, if it has one; 0 is the highest.
+    /// Priority that overrides that of the route; 0 is the highest.
     pub priority: Option<u32>,
-    /// Regions in which requests of its callers may be served.
+    /// Regions in which its requests may be served.
     pub regions: AllowedRegions,
 }
 
-/// Bounds on what callers send and on the capacity shared by tenants.
+/// Limits on requests and connections of callers, and the capacity shared by tenants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for the head of a request.
+    /// Maximum time to receive a request head.
     pub head_timeout: Duration,
-    /// Longest time that a connection rests.
+    /// Maximum time that a connection stays idle.
     pub idle_timeout: Duration,
-    /// Tokens a second that all engines make, if known: a token read counts once, one made twice.
+    /// Capacity of all engines in tokens a second, if known. An input token counts once, an output
+    /// token twice.
     pub tokens_per_second: Option<u64>,
 }
 
@@ -130,17 +131,17 @@
     }
 }
 
-/// A whole configuration. Versions rise; a higher one replaces a lower one.
+/// A complete configuration. One with a higher version replaces one with a lower version.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct RoutingConfiguration {
-    /// Its version.
+    /// Version number.
     pub version: u64,
-    /// Its routes.
+    /// The routes.
     pub routes: Vec<Route>,
-    /// Its services.
+    /// The services.
     pub services: Vec<Service>,
-    /// Its tenants; with none, no request needs a key.
+    /// The tenants; without any, no request needs a key.
     pub tenants: Vec<Tenant>,
-    /// Its limits.
+    /// Limits on callers and the shared capacity.
     pub limits: Limits,
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decisions of a router: which route a request takes, which back end serves it, when it is let in,
-//! whether it may be sent again and what its caller may be told.
+//! Routing decisions: route lookup, admission, placement on back ends, retries, and what callers
+//! may be told about failed requests.
 //!
 //! Everything here is a pure state machine: time and random draws are arguments, nothing does I/O.
 
--- a/crates/routing/src/overload.rs
+++ b/crates/routing/src/overload.rs
@@ -1,91 +1,92 @@
-//! Whether a router has more to do than its processor carries, so that new callers should go elsewhere.
+//! Detects that a router has too little CPU for its load and should direct callers elsewhere.
 //!
-//! The measure is the part of its time by which a periodic turn comes late: on a processor that keeps up
-//! turns are in time, on one that does not each waits behind the work of all the others.
+//! The measure is the lateness of a periodic tick of the event loop, as a fraction of time: it is
+//! near zero while the CPU keeps up and rises when ticks wait behind other work.
 
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// Time over which lateness is averaged before callers are sent elsewhere as a whole.
-const LONG_MEMORY: Duration = Duration::from_millis(400);
-/// Longest time that one turn speaks for: a single long pause is no overload.
-const LONGEST_TURN: Duration = Duration::from_millis(120);
-/// Time over which it is averaged before single connections are turned away.
-const SHORT_MEMORY: Duration = Duration::from_millis(250);
-/// Lateness from which on new connections are turned away, and that at which nearly all are.
-const TURNING_AWAY: (f64, f64) = (0.45, 0.85);
-/// Lateness from which on new connections are handed to peers, and that at which nearly all are. Of 68,358 requests of a
-/// zone in which one client asked a router of 0.12 core for 900 a second, 46,740 failed before and 10,111 with it,
-/// counted at the clients over 54 s.
-const OFFLOADING: (f64, f64) = (0.15, 0.5);
-/// Lateness from which on a router is pressed: it does what it can to spend less on each request.
-const PRESSED: f64 = 0.15;
-/// Most of the new connections that are turned away: those that are taken show when there is room again.
-const MOST_TURNED_AWAY: f64 = 0.95;
-/// Part of the time by which turns are late from which on a router is overloaded.
-const OVERLOADED: f64 = 0.6;
-/// Part of the callers' connections that may be open before a router is overloaded.
-const CONNECTIONS_PART: f64 = 0.6;
-/// First time for which new callers are sent elsewhere while there are larger routers: it gives those
-/// callers the time to reach one, since the balancer sends them to a router at a time.
-const SHED_TO_LARGER: Duration = Duration::from_secs(60);
-/// First time for which new callers are sent elsewhere among equals.
-const FIRST_SHED: Duration = Duration::from_secs(3);
-/// Longest such time among equals.
-const LONGEST_SHED: Duration = Duration::from_secs(8);
-/// A router that is overloaded again within this time sheds for twice as long.
-const RELAPSE: Duration = Duration::from_secs(6);
-/// Part of a zone's routers that may shed at a time, and one in any zone of several: a balancer that finds
-/// fewer than half of them ready uses all again.
-const MOST_SHEDDING: f64 = 0.45;
-
-/// Part of the others that have much less processor from which on a router keeps its callers.
-const MOSTLY_SMALLER: f64 = 0.5;
-
-/// A periodic turn that the router has taken.
+/// Time constant of the lateness average that decides on shedding.
+const LONG_TIME_CONSTANT: Duration = Duration::from_millis(400);
+/// Maximum time that one tick counts for: a single long pause is no overload.
+const MAX_TICK_TIME: Duration = Duration::from_millis(120);
+/// Time constant of the lateness average that decides on single connections.
+const SHORT_TIME_CONSTANT: Duration = Duration::from_millis(250);
+/// Lateness at which rejection of new connections starts and reaches its maximum.
+const REJECTION_RANGE: (f64, f64) = (0.45, 0.85);
+/// Lateness at which forwarding of new connections to peers starts and reaches its maximum. It
+/// starts before rejection, which makes callers reconnect.
+const OFFLOAD_RANGE: (f64, f64) = (0.15, 0.5);
+/// Lateness above which the router reduces its work per request.
+const PRESSURE_THRESHOLD: f64 = 0.15;
+/// Maximum fraction of new connections rejected or forwarded. The accepted ones show when there is
+/// capacity again.
+const MAX_DIVERTED_FRACTION: f64 = 0.95;
+/// Lateness above which a router sheds.
+const OVERLOAD_THRESHOLD: f64 = 0.6;
+/// Fraction of the connection limit above which a router sheds.
+const MAX_CONNECTIONS_FRACTION: f64 = 0.6;
+/// Duration of shedding while there are larger routers. Load balancers move callers one router at a
+/// time, so reaching a larger one takes a while.
+const SHED_TIME_WITH_LARGER_PEERS: Duration = Duration::from_secs(60);
+/// Initial duration of shedding among routers of equal size.
+const INITIAL_SHED_TIME: Duration = Duration::from_secs(3);
+/// Maximum duration of shedding among routers of equal size.
+const MAX_SHED_TIME: Duration = Duration::from_secs(8);
+/// Time after shedding within which renewed overload doubles the duration.
+const RELAPSE_WINDOW: Duration = Duration::from_secs(6);
+/// Maximum fraction of a zone's routers that may shed at a time, with a minimum of one in zones of
+/// several: load balancers that find fewer than half of them ready use all again.
+const MAX_SHEDDING_FRACTION: f64 = 0.45;
+
+/// Fraction of much smaller peers from which a router keeps its callers.
+const SMALLER_PEERS_THRESHOLD: f64 = 0.5;
+
+/// Measurements of one periodic tick of the event loop.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tick {
-    /// Time between two turns as planned.
+    /// Planned time between two ticks.
     pub period: Duration,
-    /// Time by which this one came late.
+    /// Time by which this tick was late.
     pub lag: Duration,
-    /// Open connections of callers over the most that may be open.
+    /// Open caller connections as a fraction of the limit.
     pub connections: f64,
-    /// The other routers.
+    /// Ability of the other routers to take over callers.
     pub peers: PeerCapacity,
 }
 
-/// What a router knows of the others when it weighs whether they can take its callers.
+/// Ability of the other routers to take over this router's callers.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct PeerCapacity {
-    /// Those in this router's zone.
+    /// Number of other routers in this router's zone.
     pub in_zone: usize,
-    /// Those in this router's zone that shed.
+    /// Number of those that are shedding.
     pub shedding: usize,
-    /// Part of them that have much more processor.
+    /// Fraction of all peers with much more CPU than this router.
     pub larger: f64,
-    /// Part of them that have much less processor.
+    /// Fraction of all peers with much less CPU than this router.
     pub smaller: f64,
 }
 
-/// Watches for overload and says when new callers are to go elsewhere.
+/// Decides from tick lateness when to shed, reject and offload connections.
 #[derive(Debug, Clone, Default)]
 pub struct OverloadGuard {
     lateness: f64,
     recent_lateness: f64,
     shedding_until: Option<Timestamp>,
+    /// When shedding ended last.
     ended: Option<Timestamp>,
-    last_shed: Duration,
+    last_shed_time: Duration,
 }
 
 impl OverloadGuard {
-    /// The router has taken a turn. Gives the new state if it changes: whether it sheds.
-    pub fn on_tick(&mut self, now: Timestamp, turn: Tick) -> Option<bool> {
-        self.average(turn);
+    /// Processes a tick. Returns whether the router sheds from now on if that changes.
+    pub fn on_tick(&mut self, now: Timestamp, tick: Tick) -> Option<bool> {
+        self.average(tick);
         match self.shedding_until {
             Some(until) if now < until => None,
-            Some(_) if self.is_overloaded(turn) => {
-                self.shed(now, self.last_shed);
+            Some(_) if self.is_overloaded(tick) => {
+                self.shed(now, self.last_shed_time);
                 None
             }
             Some(_) => {
@@ -93,80 +94,82 @@
                 self.ended = Some(now);
                 Some(false)
             }
-            None if self.is_overloaded(turn) && may_shed(turn.peers) => {
-                self.shed(now, self.next_span(now, turn.peers));
+            None if self.is_overloaded(tick) && may_shed(tick.peers) => {
+                self.shed(now, self.next_shed_time(now, tick.peers));
                 Some(true)
             }
             None => None,
         }
     }
 
-    /// Whether new callers are to go elsewhere.
+    /// Returns whether new callers are directed to other routers.
     pub fn is_shedding(&self) -> bool {
         self.shedding_until.is_some()
     }
 
-    /// The part of new connections to turn away unread: their callers connect to another router at once,
-    /// while here their requests would wait behind all others.
+    /// Returns the fraction of new connections to close without reading them. Their callers
+    /// reconnect to another router at once instead of waiting here.
     pub fn rejected_fraction(&self) -> f64 {
-        self.part_between(TURNING_AWAY)
+        self.diverted_fraction(REJECTION_RANGE)
     }
 
-    /// The part of new connections to hand to peers that have room.
+    /// Returns the fraction of new connections to forward to peers with capacity.
     pub fn offloaded_fraction(&self) -> f64 {
-        self.part_between(OFFLOADING)
+        self.diverted_fraction(OFFLOAD_RANGE)
     }
 
-    fn part_between(&self, (first, last): (f64, f64)) -> f64 {
-        let part = (self.recent_lateness - first) / (last - first);
-        part.clamp(0.0, MOST_TURNED_AWAY)
+    fn diverted_fraction(&self, (first, last): (f64, f64)) -> f64 {
+        let fraction = (self.recent_lateness - first) / (last - first);
+        fraction.clamp(0.0, MAX_DIVERTED_FRACTION)
     }
 
-    /// Whether the router should spend less on each request, at the price of small delays.
+    /// Returns whether the router should save CPU per request at the cost of small delays.
     pub fn is_under_pressure(&self) -> bool {
-        self.recent_lateness > PRESSED
+        self.recent_lateness > PRESSURE_THRESHOLD
     }
 
-    /// The part of its time by which the router is late, 0 to 1.
+    /// Returns the average lateness of ticks as a fraction of time, 0 to 1.
     pub fn lateness(&self) -> f64 {
         self.lateness
     }
 
-    fn average(&mut self, turn: Tick) {
-        let passed = (turn.period + turn.lag).as_secs_f64();
-        let late = turn.lag.as_secs_f64() / passed.max(f64::MIN_POSITIVE);
-        let passed = passed.min(LONGEST_TURN.as_secs_f64());
-        self.lateness += gain(passed, LONG_MEMORY) * (late - self.lateness);
-        self.recent_lateness += gain(passed, SHORT_MEMORY) * (late - self.recent_lateness);
+    fn average(&mut self, tick: Tick) {
+        let elapsed = (tick.period + tick.lag).as_secs_f64();
+        let late = tick.lag.as_secs_f64() / elapsed.max(f64::MIN_POSITIVE);
+        let elapsed = elapsed.min(MAX_TICK_TIME.as_secs_f64());
+        self.lateness += ewma_weight(elapsed, LONG_TIME_CONSTANT) * (late - self.lateness);
+        self.recent_lateness +=
+            ewma_weight(elapsed, SHORT_TIME_CONSTANT) * (late - self.recent_lateness);
     }
 
-    fn next_span(&self, now: Timestamp, peers: PeerCapacity) -> Duration {
+    fn next_shed_time(&self, now: Timestamp, peers: PeerCapacity) -> Duration {
         if peers.larger > 0.0 {
-            return SHED_TO_LARGER;
+            return SHED_TIME_WITH_LARGER_PEERS;
         }
-        let relapsed = self.ended.is_some_and(|ended| now.since(ended) < RELAPSE);
-        let span = if relapsed { self.last_shed * 2 } else { FIRST_SHED };
-        span.min(LONGEST_SHED)
+        let relapsed = self.ended.is_some_and(|ended| now.since(ended) < RELAPSE_WINDOW);
+        let shed_time = if relapsed { self.last_shed_time * 2 } else { INITIAL_SHED_TIME };
+        shed_time.min(MAX_SHED_TIME)
     }
 
-    fn is_overloaded(&self, turn: Tick) -> bool {
-        self.lateness > OVERLOADED || turn.connections > CONNECTIONS_PART
+    fn is_overloaded(&self, tick: Tick) -> bool {
+        self.lateness > OVERLOAD_THRESHOLD || tick.connections > MAX_CONNECTIONS_FRACTION
     }
 
-    fn shed(&mut self, now: Timestamp, span: Duration) {
-        self.shedding_until = Some(now + span);
-        self.last_shed = span;
+    fn shed(&mut self, now: Timestamp, shed_time: Duration) {
+        self.shedding_until = Some(now + shed_time);
+        self.last_shed_time = shed_time;
     }
 }
 
-/// Whether others can take the callers: not if many shed already, nor if most are much smaller.
+/// Returns whether peers can take over callers: few of them shed and few are much smaller.
 fn may_shed(peers: PeerCapacity) -> bool {
     let zone = peers.in_zone + 1;
-    let most = if zone > 1 { ((zone as f64 * MOST_SHEDDING) as usize).max(1) } else { 0 };
-    peers.shedding < most && peers.smaller < MOSTLY_SMALLER
+    let max_shedding =
+        if zone > 1 { ((zone as f64 * MAX_SHEDDING_FRACTION) as usize).max(1) } else { 0 };
+    peers.shedding < max_shedding && peers.smaller < SMALLER_PEERS_THRESHOLD
 }
 
-/// The weight of what was seen in the last `passed` seconds.
-fn gain(passed: f64, memory: Duration) -> f64 {
-    1.0 - (-passed / memory.as_secs_f64()).exp()
+/// Returns the weight of a sample over `elapsed` seconds in an exponential moving average.
+fn ewma_weight(elapsed: f64, time_constant: Duration) -> f64 {
+    1.0 - (-elapsed / time_constant.as_secs_f64()).exp()
 }
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,65 +1,67 @@
-//! Settings of the policies that place, admit and share. Each mechanism can be switched off, so that an
-//! ablation measures what it is worth.
+//! Settings of placement, admission and fair sharing. Each mechanism can be switched off to measure
+//! its effect.
 
 use crate::service_level::ACCEPTED_MISSES;
 
-/// How many requests of tenants above their fair share may be under way at one engine.
+/// How the concurrency limit of an engine for tenants above their fair share is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConcurrencyPolicy {
-    /// As many as the engine has slots.
+    /// The number of slots.
     Slots,
-    /// What the routers find from the pace of its streams, see [`crate::ConcurrencyLimit`].
+    /// Adapted to the event intervals of streams, see [`crate::ConcurrencyLimit`].
     Adaptive,
-    /// At most this many, and never more than the engine has slots.
+    /// A fixed number, at most the number of slots.
     Fixed(u32),
 }
 
-/// The capacity that tenants' fair shares are parts of.
+/// The capacity that is shared fairly among tenants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FairCapacity {
-    /// What the configuration declares.
+    /// The capacity declared in the configuration.
     Declared,
-    /// What is served, where that is more than the configuration declares.
+    /// The granted rate where it exceeds the declared capacity.
     Served,
 }
 
-/// Settings of the policies. The defaults are what measured best; docs/CASCADIA.md has the figures.
+/// Settings of the routing policies.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// Requests of tenants above their fair share that may be under way at one engine.
+    /// Concurrency limit per engine for requests of tenants above their fair share.
     pub concurrency: ConcurrencyPolicy,
-    /// Engines, in the rendezvous order of a shared prefix, that may prefill it.
+    /// Number of engines, in the rendezvous order of a shared prefix, that may prefill it.
     pub preferred_engines: usize,
-    /// The same for a prefix that costs little to prefill again.
+    /// The same for a prefix that is cheap to prefill again.
     pub preferred_engines_cheap: usize,
-    /// A request that no engine could serve in time is placed where its first event comes within this many
-    /// times what it takes alone: late, but whole. 0 refuses it unless an engine has nothing else to do.
+    /// Maximum time to the first event, as a multiple of that without other load, at which a
+    /// request is placed that no engine can serve in time. 0 refuses such requests unless an engine
+    /// is idle.
     pub late_slack: f64,
-    /// Part of the objective for which a request waits for the engine that holds its prefix before another
-    /// one prefills it again.
+    /// Fraction of the objective for which a request waits for the engine that holds its prefix
+    /// before another one prefills it.
     pub locality_wait_fraction: f64,
-    /// Most of an engine's slots, as a part, that are left for tenants below half of their share whose
-    /// requests could not be placed.
+    /// Maximum fraction of an engine's slots reserved for tenants below half of their fair share
+    /// whose requests could not be placed.
     pub reserve_below_half: f64,
-    /// Time between events that the concurrency limit accepts, in times of that without load.
+    /// Accepted event interval as a multiple of that of an unloaded engine.
     pub slowdown: f64,
-    /// The same while tenants within their fair share miss their objective too often. Below it an engine has
-    /// capacity left, and the misses have another cause.
+    /// The same while tenants within their fair share miss their objective too often. Misses at a
+    /// lower slowdown have a cause other than load.
     pub strained_slowdown: f64,
-    /// Share of the requests of tenants within their fair share that may miss their objective before tenants
-    /// above it are given less.
+    /// Fraction of the requests of tenants within their fair share that may miss their objective
+    /// before tenants above it are limited further.
     pub accepted_misses: f64,
-    /// Part of the objective within which the first event of a tenant above the fair share is predicted.
+    /// Maximum predicted time to the first event of tenants above their fair share, as a fraction
+    /// of the objective.
     pub above_share_time_fraction: f64,
-    /// Part of the objective within which every other first event is predicted.
+    /// The same for all other requests.
     pub time_fraction: f64,
-    /// Part of the objective for which a request may wait before it is refused.
+    /// Fraction of the objective for which a request may wait before it is refused.
     pub wait_fraction: f64,
-    /// Whether tenants are held to the fair share. If not, all are treated alike.
+    /// Whether tenants are limited to their fair share. If not, all requests are treated alike.
     pub fair_share: bool,
-    /// The capacity that fair shares are parts of.
+    /// The capacity that is shared.
     pub fair_capacity: FairCapacity,
-    /// Whether predictions are scaled by what each engine took against what was predicted.
+    /// Whether predictions are scaled by each engine's ratio of observed to predicted time.
     pub latency_ratio: bool,
 }
 
--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -1,15 +1,15 @@
-//! In which regions requests may be served.
+//! Restriction of requests to regions.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The region of each zone.
+/// Maps zones to regions.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ZoneRegions(BTreeMap<String, Arc<str>>);
 
 impl ZoneRegions {
-    /// The region of a zone, if it is known.
+    /// Returns the region of a zone, if known.
     pub fn of(&self, zone: &str) -> Option<Arc<str>> {
         self.0.get(zone).cloned()
     }
@@ -22,17 +22,17 @@
     }
 }
 
-/// The regions in which a request may be served; all, if nothing restricts it.
+/// Regions in which a request may be served; all by default.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct AllowedRegions(Option<Arc<BTreeSet<String>>>);
 
 impl AllowedRegions {
-    /// These regions and no other.
+    /// Restricts to the given regions.
     pub fn only(regions: impl IntoIterator<Item = String>) -> Self {
         Self(Some(Arc::new(regions.into_iter().collect())))
     }
 
-    /// Those that both allow.
+    /// Returns the regions that both allow.
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (Some(these), Some(those)) => Self::only(these.intersection(those).cloned()),
@@ -41,12 +41,13 @@
         }
     }
 
-    /// Whether a back end may serve that is in `region`. Where the region is not known, only an unrestricted request may go.
+    /// Returns whether a back end in `region` may serve the request. An unknown region is allowed
+    /// only without a restriction.
     pub fn allow(&self, region: Option<&str>) -> bool {
         self.0.as_ref().is_none_or(|allowed| region.is_some_and(|region| allowed.contains(region)))
     }
 
-    /// Whether all regions may serve.
+    /// Returns whether all regions are allowed.
     pub fn is_unrestricted(&self) -> bool {
         self.0.is_none()
     }
--- a/crates/routing/src/source_watchers.rs
+++ b/crates/routing/src/source_watchers.rs
@@ -1,34 +1,36 @@
-//! Which routers follow the source of configuration and back ends, and how long each waits there.
+//! Selects the routers that watch the source of configuration and back ends, and the timeout of
+//! their long polls.
 //!
-//! Each call to the source costs, whatever the fleet's size. A few routers follow it, and the others
-//! learn from their digests. Who they are follows from what each router hears of the others, without a
-//! message of its own: a router that hears nobody follows the source itself.
+//! To keep the load of the source independent of the size of the fleet, only a few routers watch it
+//! and the others learn of updates from them. Each router derives the selection from the peers that
+//! it knows, without coordination; one without peers watches the source itself.
 
 use crate::digest::PeerId;
 use mastbay_types::stable_hash;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Routers that follow the source. One may be lost and one deaf.
+/// Number of routers that watch the source. Tolerates the loss of one and missed notifications of
+/// another.
 const WATCHERS: usize = 3;
-/// Part of the propagation bound that one wait may take: a source may fail to tell a waiting call of a
-/// change, which then shows only when the call ends.
-const WAIT_PART: f64 = 0.5;
-/// Least part of the longest wait that is drawn. Waits that differ keep routers from asking together, so
-/// that one of them soon sees what a deaf source missed to tell, and the others learn it from that one.
-const LEAST_DRAWN: f64 = 0.4;
+/// Maximum timeout of a long poll as a fraction of the propagation bound. A source may fail to
+/// notify a waiting call of a change, which is then noticed only when the call ends.
+const MAX_TIMEOUT_FRACTION: f64 = 0.5;
+/// Minimum timeout as a fraction of the maximum. Random timeouts keep routers from polling in step,
+/// so that one of them soon notices a change that the source did not notify of.
+const MIN_TIMEOUT_FRACTION: f64 = 0.4;
 
-/// Time after its start in which a router that is no seed leaves the source to others, beside
-/// [`PATIENCE_PER_ROUTER`]. A peer answers within milliseconds, but the machines of a deployment start up to 300 ms
-/// apart, and its seeds may be among the last.
-const LEAST_PATIENCE: Duration = Duration::from_millis(400);
-/// Further time for each router of the fleet: they all ask the few that know, which hand out a snapshot in some
-/// milliseconds each.
-const PATIENCE_PER_ROUTER: Duration = Duration::from_millis(10);
-/// Part of that time after which those that should follow the source ask it: by then routers know each other.
-const FOLLOWERS_PATIENCE: f64 = 0.3;
+/// Time after startup in which a router that is no seed leaves the source to others, in addition to
+/// [`STARTUP_TIMEOUT_PER_ROUTER`]. Covers differences between the start times of machines.
+const MIN_STARTUP_TIMEOUT: Duration = Duration::from_millis(400);
+/// Further time per router of the fleet, as all of them request a snapshot from the few that have
+/// one.
+const STARTUP_TIMEOUT_PER_ROUTER: Duration = Duration::from_millis(10);
+/// Fraction of that time after which the selected watchers call the source; by then routers know
+/// each other.
+const WATCHER_TIMEOUT_FRACTION: f64 = 0.3;
 
-/// What a router knows of the source by its own calls.
+/// Result of a router's own calls to the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum SourceContact {
     /// It makes no calls.
@@ -40,52 +42,54 @@
     Lost,
 }
 
-/// A router that may follow the source.
+/// A router that may watch the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// The router.
+    /// Identity of the router.
     pub router: PeerId,
-    /// What it told of the source.
+    /// Source contact that the router reported.
     pub contact: SourceContact,
 }
 
-/// Whether `me` follows the source, beside the `others` that it hears. A router that has lost the source
-/// goes on asking, to find it again, but does not count among those that follow it.
+/// Returns whether the router `me` is selected to watch the source, given the `others` that it
+/// knows. Routers that have lost contact keep calling the source but do not count as watchers.
 pub fn follows_source(me: Candidate, others: impl Iterator<Item = Candidate>) -> bool {
-    let mine = rank(me.router);
+    let own_rank = rank(me.router);
     let before_me = others
         .filter(|other| other.contact != SourceContact::Lost)
-        .filter(|other| rank(other.router) < mine)
+        .filter(|other| rank(other.router) < own_rank)
         .take(WATCHERS);
     before_me.count() < WATCHERS
 }
 
-/// A router that has just started and knows nothing yet.
+/// A router that has just started and has no configuration and back ends yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StartingRouter {
-    /// Time since it started.
+    /// Time since startup.
     pub running: Duration,
-    /// Routers of the fleet, as far as it hears.
+    /// Number of known routers of the fleet.
     pub routers: usize,
-    /// Whether it is one of those that others call first.
+    /// Whether it is a seed, which other routers contact first.
     pub is_seed: bool,
-    /// Whether it is one of those that follow the source, by what it hears.
+    /// Whether it is selected to watch the source, see [`follows_source`].
     pub follows_source: bool,
-    /// Whether it hears of a router that reaches the source. If it still knows nothing, there is nothing to know yet.
+    /// Whether a known peer reaches the source. If this router still has no configuration, there is
+    /// none yet.
     pub others_reach_source: bool,
 }
 
 impl StartingRouter {
-    /// Whether it asks the source itself. When a whole fleet starts, its seeds and a few others ask the source, and
-    /// the rest ask them; a router that learns nothing from others in time asks all the same.
+    /// Returns whether the router should call the source itself. When a whole fleet starts, seeds
+    /// and a few other routers do, and the rest get snapshots from them; a router that gets none in
+    /// time calls the source anyway.
     pub fn queries_source(&self) -> bool {
         if self.is_seed {
             return true;
         }
-        let patience = LEAST_PATIENCE + PATIENCE_PER_ROUTER * self.routers as u32;
-        let is_left_alone = self.running >= patience && !self.others_reach_source;
-        let followers_patience = patience.mul_f64(FOLLOWERS_PATIENCE).max(LEAST_PATIENCE);
-        is_left_alone || (self.running >= followers_patience && self.follows_source)
+        let timeout = MIN_STARTUP_TIMEOUT + STARTUP_TIMEOUT_PER_ROUTER * self.routers as u32;
+        let has_timed_out = self.running >= timeout && !self.others_reach_source;
+        let watcher_timeout = timeout.mul_f64(WATCHER_TIMEOUT_FRACTION).max(MIN_STARTUP_TIMEOUT);
+        has_timed_out || (self.running >= watcher_timeout && self.follows_source)
     }
 }
 
@@ -93,9 +97,9 @@
     (stable_hash(&[router.address.to_string().as_bytes()]), router)
 }
 
-/// The wait of one call. `propagation` is the time in which a change must be in force, `draw` uniform in
-/// 0..1.
+/// Returns the timeout of one long poll. `propagation` is the time within which a change must be in
+/// force; `draw` is uniform in 0..1.
 pub fn watch_timeout(propagation: Duration, draw: f64) -> Duration {
-    let longest = propagation.mul_f64(WAIT_PART);
-    longest.mul_f64(LEAST_DRAWN + (1.0 - LEAST_DRAWN) * draw)
+    let max = propagation.mul_f64(MAX_TIMEOUT_FRACTION);
+    max.mul_f64(MIN_TIMEOUT_FRACTION + (1.0 - MIN_TIMEOUT_FRACTION) * draw)
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,30 +1,31 @@
-//! Looking up the route of a request and the tenant of a key.
+//! Lookup of the route of a request and the tenant of a key.
 
 use crate::configuration::{Route, RoutingConfiguration, Service, Tenant};
 use mastbay_types::short_hash;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A configuration with indexes for look-ups.
+/// A configuration with indexes for lookups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     configuration: RoutingConfiguration,
     routes: Vec<Arc<Route>>,
-    /// Hashes of the routes' names.
+    /// Hashes of the routes' names, in the order of `routes`.
     keys: Vec<u32>,
+    /// Indexes of routes, those with longer path prefixes first.
     by_host: HashMap<String, Vec<usize>>,
     by_key: HashMap<String, usize>,
     by_service: HashMap<String, usize>,
 }
 
-/// The route of a request.
+/// The route found for a request.
 #[derive(Debug, Clone)]
 pub struct TableEntry {
     /// The route.
     pub route: Arc<Route>,
-    /// A hash of its name.
+    /// Hash of the route's name.
     pub key: u32,
-    /// The configuration's version.
+    /// Version of the configuration.
     pub version: u64,
 }
 
@@ -49,17 +50,17 @@
         Self { configuration, routes, keys, by_host, by_key, by_service }
     }
 
-    /// The configuration's version.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// The configuration.
+    /// Returns the indexed configuration.
     pub fn configuration(&self) -> &RoutingConfiguration {
         &self.configuration
     }
 
-    /// The route with the longest prefix of `path` among those of `host`.
+    /// Returns the route of `host` with the longest path prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<TableEntry> {
         let host = host_name(host).to_ascii_lowercase();
         let indexes = self.by_host.get(&host)?;
@@ -69,23 +70,23 @@
         Some(TableEntry { route, key, version: self.version() })
     }
 
-    /// The tenant that holds a key.
+    /// Returns the tenant that a key belongs to.
     pub fn tenant(&self, key: &str) -> Option<&Tenant> {
         self.by_key.get(key).map(|index| &self.configuration.tenants[*index])
     }
 
-    /// Whether requests need keys at all.
+    /// Returns whether any tenant is configured, so that requests need keys.
     pub fn has_tenants(&self) -> bool {
         !self.configuration.tenants.is_empty()
     }
 
-    /// A service by its name.
+    /// Returns a service by its name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.by_service.get(name).map(|index| &self.configuration.services[*index])
     }
 }
 
-/// A host without its port.
+/// Strips the port from a host.
 fn host_name(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
@@ -94,7 +95,8 @@
 }
 
 impl TableEntry {
-    /// The service that takes a request, by weight; `draw` is uniform in 0..1.
+    /// Selects the service for a request by weight; `draw` is uniform in 0..1. Returns `None` if
+    /// the weights add up to zero.
     pub fn service(&self, draw: f64) -> Option<&str> {
         let total: u64 = self.route.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut left = draw * total as f64;
