--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -159,7 +159,7 @@
         if newer.is_none() {
             continue;
         }
-        if router.dispatcher.borrow().follows_source(router.now()) {
+        if router.dispatcher.borrow().watches_source(router.now()) {
             // The own source is usually about to tell the same.
             router.runtime.sleep(NEWER_PERIOD).await;
         }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -277,7 +277,7 @@
 
     /// Waits until this router is one of those that follow the source.
     pub async fn until_following_source(&self) {
-        while !self.follows_source() {
+        while !self.watches_source() {
             self.dispatcher.borrow_mut().on_source_contact(SourceContact::Idle);
             self.runtime.sleep(self.runtime.until_aligned_tick(DUTY_PERIOD)).await;
         }
@@ -285,23 +285,23 @@
 
     /// Whether it is one of the routers that follow the source now.
     pub fn is_following_source(&self) -> bool {
-        self.follows_source()
+        self.watches_source()
     }
 
     /// Whether it follows the source: as one of the fleet's few, or because a peer has something newer and
     /// does not hand it out, or because it knows nothing yet and waits for its peers no longer.
-    fn follows_source(&self) -> bool {
+    fn watches_source(&self) -> bool {
         let now = self.now();
         let dispatcher = self.dispatcher.borrow();
         let is_complete = self.catalogue.borrow().is_complete();
         if self.peers_fail.get() || is_complete {
-            return self.peers_fail.get() || dispatcher.follows_source(now);
+            return self.peers_fail.get() || dispatcher.watches_source(now);
         }
         let newcomer = StartingRouter {
             running: now.since(Timestamp::ZERO),
             routers: dispatcher.fleet_size(),
             is_seed: self.settings.seeds.is_empty() || self.settings.is_seed(),
-            follows_source: dispatcher.follows_source(now),
+            watches_source: dispatcher.watches_source(now),
             others_reach_source: dispatcher.others_reach_source(now),
         };
         newcomer.queries_source()
--- a/crates/routing/src/dispatch/fleet/view.rs
+++ b/crates/routing/src/dispatch/fleet/view.rs
@@ -105,14 +105,14 @@
 
     /// Whether this router follows the source: of a large fleet, only aggregators do, who is cut off, and those that
     /// stand in for aggregators.
-    pub fn follows_source(&self, now: Timestamp, contact: SourceContact) -> bool {
+    pub fn watches_source(&self, now: Timestamp, contact: SourceContact) -> bool {
         if matches!(self.role, Role::Member(_)) {
             return self.is_isolated || self.stands_in(now);
         }
         let serving = self.close_peers(now).filter(|peer| peer.phase != RouterPhase::Leaving);
         let others = serving
             .map(|peer| source_watchers::Candidate { router: peer.id, contact: peer.contact });
-        source_watchers::follows_source(
+        source_watchers::watches_source(
             source_watchers::Candidate { router: self.me, contact },
             others,
         )
--- a/crates/routing/src/dispatch/source.rs
+++ b/crates/routing/src/dispatch/source.rs
@@ -29,8 +29,8 @@
     }
 
     /// Whether this router follows the source; the others learn from their peers.
-    pub fn follows_source(&self, now: Timestamp) -> bool {
-        self.fleet.follows_source(now, self.contact)
+    pub fn watches_source(&self, now: Timestamp) -> bool {
+        self.fleet.watches_source(now, self.contact)
     }
 
     /// What is known of the other routers.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -84,7 +84,7 @@
 pub use service_level::{ACCEPTED_MISSES, ServiceLevel, ServiceLevelCounts};
 pub use shares::{Usage, water_level};
 pub use source_watchers::{
-    Candidate, SourceContact, StartingRouter, follows_source, watch_timeout,
+    Candidate, SourceContact, StartingRouter, watch_timeout, watches_source,
 };
 pub use stall::StallDetector;
 pub use table::{RouteTable, TableEntry};
--- a/crates/routing/src/source_watchers.rs
+++ b/crates/routing/src/source_watchers.rs
@@ -53,7 +53,7 @@
 
 /// Returns whether the router `me` is selected to watch the source, given the `others` that it
 /// knows. Routers that have lost contact keep calling the source but do not count as watchers.
-pub fn follows_source(me: Candidate, others: impl Iterator<Item = Candidate>) -> bool {
+pub fn watches_source(me: Candidate, others: impl Iterator<Item = Candidate>) -> bool {
     let own_rank = rank(me.router);
     let before_me = others
         .filter(|other| other.contact != SourceContact::Lost)
@@ -71,8 +71,8 @@
     pub routers: usize,
     /// Whether it is a seed, which other routers contact first.
     pub is_seed: bool,
-    /// Whether it is selected to watch the source, see [`follows_source`].
-    pub follows_source: bool,
+    /// Whether it is selected to watch the source, see [`watches_source`].
+    pub watches_source: bool,
     /// Whether a known peer reaches the source. If this router still has no configuration, there is
     /// none yet.
     pub others_reach_source: bool,
@@ -89,7 +89,7 @@
         let timeout = MIN_STARTUP_TIMEOUT + STARTUP_TIMEOUT_PER_ROUTER * self.routers as u32;
         let has_timed_out = self.running >= timeout && !self.others_reach_source;
         let watcher_timeout = timeout.mul_f64(WATCHER_TIMEOUT_FRACTION).max(MIN_STARTUP_TIMEOUT);
-        has_timed_out || (self.running >= watcher_timeout && self.follows_source)
+        has_timed_out || (self.running >= watcher_timeout && self.watches_source)
     }
 }
 
--- a/crates/routing/tests/large_fleet.rs
+++ b/crates/routing/tests/large_fleet.rs
@@ -155,7 +155,7 @@
         fleet.round();
         let now = fleet.now;
         for router in fleet.routers.values_mut() {
-            let follows = router.follows_source(now);
+            let follows = router.watches_source(now);
             let contact = if follows { SourceContact::Answered } else { SourceContact::Idle };
             router.on_source_contact(contact);
         }
@@ -163,7 +163,7 @@
     for _ in 0..60 {
         fleet.round();
         let now = fleet.now;
-        let follow = fleet.routers.values().filter(|router| router.follows_source(now)).count();
+        let follow = fleet.routers.values().filter(|router| router.watches_source(now)).count();
         assert_eq!(follow, 3, "at {now:?}");
         assert!(fleet.routers.values().all(|router| router.is_source_answering(now)));
     }
@@ -338,7 +338,7 @@
                 let is_refused =
                     aggregators.contains(&address(index)) || index % refused_one_in == 0;
                 let router = fleet.router(index);
-                let contact = match (router.follows_source(now), is_refused) {
+                let contact = match (router.watches_source(now), is_refused) {
                     (false, _) => SourceContact::Idle,
                     (true, true) => SourceContact::Lost,
                     (true, false) => SourceContact::Answered,
@@ -374,7 +374,7 @@
         for index in 0..62 {
             let now = fleet.now;
             let router = fleet.router(index);
-            let follows = router.follows_source(now);
+            let follows = router.watches_source(now);
             let may_follow = round < SETTLED || aggregators.contains(&address(index));
             assert!(!follows || may_follow, "router {index} in round {round}");
             router.on_source_contact(if follows {
@@ -492,7 +492,7 @@
 
 /// Whether the source answers a router: it turns away all aggregators and one router in so many.
 fn contact_of(router: &Dispatcher, now: Timestamp, is_refused: bool) -> SourceContact {
-    match (router.follows_source(now), is_refused) {
+    match (router.watches_source(now), is_refused) {
         (false, _) => SourceContact::Idle,
         (true, true) => SourceContact::Lost,
         (true, false) => SourceContact::Answered,
--- a/crates/routing/tests/watching.rs
+++ b/crates/routing/tests/watching.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use mastbay_routing::{Candidate, SourceContact, StartingRouter, follows_source, watch_timeout};
+use mastbay_routing::{Candidate, SourceContact, StartingRouter, watch_timeout, watches_source};
 use quickcheck::quickcheck;
 use std::time::Duration;
 use support::peer;
@@ -15,7 +15,7 @@
 fn followers(fleet: &[Candidate]) -> Vec<Candidate> {
     let is_follower = |me: &&Candidate| {
         let others = fleet.iter().filter(|other| other.router != me.router);
-        follows_source(**me, others.copied())
+        watches_source(**me, others.copied())
     };
     fleet.iter().filter(is_follower).copied().collect()
 }
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_router_that_hears_nobody_follows_the_source() {
-    assert!(follows_source(candidate(1, SourceContact::Answered), std::iter::empty()));
+    assert!(watches_source(candidate(1, SourceContact::Answered), std::iter::empty()));
 }
 
 #[test]
@@ -69,19 +69,19 @@
 fn newcomer(millis: u64, routers: usize) -> StartingRouter {
     let running = Duration::from_millis(millis);
     let is_seed = false;
-    StartingRouter { running, routers, is_seed, follows_source: false, others_reach_source: false }
+    StartingRouter { running, routers, is_seed, watches_source: false, others_reach_source: false }
 }
 
 /// On a deployment of 295 machines each start of the fleet cost 1,500 calls: all read the whole list.
 #[test]
 fn newcomers_of_a_large_fleet_leave_the_source_to_a_few() {
     assert!(!newcomer(0, 1).queries_source(), "it has heard nobody yet");
-    let first = StartingRouter { follows_source: true, ..newcomer(300, 1) };
+    let first = StartingRouter { watches_source: true, ..newcomer(300, 1) };
     assert!(!first.queries_source(), "the seeds may start 300 ms later");
     assert!(!newcomer(2_500, 295).queries_source());
     assert!(StartingRouter { is_seed: true, ..newcomer(0, 1) }.queries_source());
-    assert!(!StartingRouter { follows_source: true, ..newcomer(400, 295) }.queries_source());
-    assert!(StartingRouter { follows_source: true, ..newcomer(1_100, 295) }.queries_source());
+    assert!(!StartingRouter { watches_source: true, ..newcomer(400, 295) }.queries_source());
+    assert!(StartingRouter { watches_source: true, ..newcomer(1_100, 295) }.queries_source());
 }
 
 #[test]
@@ -96,5 +96,5 @@
 fn nobody_asks_for_what_is_not_there_yet() {
     let waiting = StartingRouter { others_reach_source: true, ..newcomer(8_000, 295) };
     assert!(!waiting.queries_source());
-    assert!(StartingRouter { follows_source: true, ..waiting }.queries_source());
+    assert!(StartingRouter { watches_source: true, ..waiting }.queries_source());
 }
