--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -278,7 +278,7 @@
 
     /// Waits until this router is one of those that follow the source.
     pub async fn until_following_source(&self) {
-        while !self.follows_source() {
+        while !self.watches_source() {
             self.dispatcher.borrow_mut().on_source_contact(SourceContact::Idle);
             self.runtime.sleep(self.runtime.until_aligned_tick(FOLLOW_CHECK_INTERVAL)).await;
         }
@@ -286,24 +286,24 @@
 
     /// Returns whether this router is one of those that follow the source.
     pub fn is_following_source(&self) -> bool {
-        self.follows_source()
+        self.watches_source()
     }
 
     /// Returns whether this router follows the source: as one of the fleet's few, because newer
     /// versions could not be fetched from a peer, or because its state is incomplete and it no
     /// longer waits for its peers.
-    fn follows_source(&self) -> bool {
+    fn watches_source(&self) -> bool {
         let now = self.now();
         let dispatcher = self.dispatcher.borrow();
         let is_complete = self.catalogue.borrow().is_complete();
         if self.peer_fetch_failed.get() || is_complete {
-            return self.peer_fetch_failed.get() || dispatcher.follows_source(now);
+            return self.peer_fetch_failed.get() || dispatcher.watches_source(now);
         }
         let starting = StartingRouter {
             running: now.since(Timestamp::ZERO),
             routers: dispatcher.fleet_size(),
             is_seed: self.settings.seeds.is_empty() || self.settings.is_seed(),
-            follows_source: dispatcher.follows_source(now),
+            watches_source: dispatcher.watches_source(now),
             others_reach_source: dispatcher.others_reach_source(now),
         };
         starting.queries_source()
