--- a/crates/router/src/back_end_notices.rs
+++ b/crates/router/src/back_end_notices.rs
@@ -1,4 +1,4 @@
-//! What back ends say of themselves in their answers: that they end soon, or that they want no requests for a while.
+//! Applies the state that back ends report in answers: draining, or a backoff for further requests.
 
 use crate::call::Call;
 use crate::dialect::{BackEndNotice, RetryAfter};
@@ -9,8 +9,8 @@
 use mastbay_routing::BackEndId;
 use std::net::SocketAddr;
 
-/// Takes what the head of an answer says of the back end that gave it.
-pub fn take(router: &Router, call: &Call, id: &BackEndId, head: &http::response::Parts) {
+/// Applies the notice in the head of an answer from the back end `id`.
+pub fn apply(router: &Router, call: &Call, id: &BackEndId, head: &http::response::Parts) {
     let notice = router.dialects.back_ends.notice(&call.head.request_id, head);
     if notice == BackEndNotice::default() {
         return;
@@ -32,15 +32,15 @@
         RetryAfter::Malformed(error) if router.may_write_line(LogLineKind::Failure) => {
             events::retry_after_malformed(id, &error, &call.head.request_id);
         }
-        // The line is left out and counted.
+        // The rate limiter suppressed and counted the line.
         RetryAfter::Malformed(_) => {}
     }
 }
 
-/// Another router tells of back ends that said that they end soon.
-pub fn apply_reported(router: &Router, told: &[BackEndId], sender: SocketAddr) {
+/// Marks back ends as draining that another router reported.
+pub fn apply_reported(router: &Router, reported: &[BackEndId], sender: SocketAddr) {
     let now = router.now();
-    for id in told {
+    for id in reported {
         if router.dispatcher.borrow_mut().on_draining_reported(now, id) {
             events::back_end_draining(id, None, &sender.to_string());
         }
--- a/crates/router/src/body_budget.rs
+++ b/crates/router/src/body_budget.rs
@@ -1,23 +1,24 @@
-//! A bound on the memory that bodies of requests, and large events of answers, take over all requests that are under way.
+//! A shared memory budget for request bodies and large answers.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes of an answer up to which it counts as part of its connection, whose memory is bounded by itself.
-pub const SMALL_ANSWER: u64 = 16 << 10;
-/// Why an answer is given up for which no memory is left. Another back end would not help.
+/// Largest answer, in bytes, that needs no reservation: the buffers of its connection bound it.
+pub const MAX_UNRESERVED_ANSWER: u64 = 16 << 10;
+/// The logged reason when an answer is given up because the budget is used up. Another back end
+/// would not help.
 pub const NO_MEMORY: &str = "no_memory";
-/// Bytes taken for a body whose length its caller does not tell, before it is read.
-const UNTOLD_LENGTH: u64 = 64 << 10;
+/// Bytes reserved for a body of unknown length before it is read.
+const UNKNOWN_LENGTH_RESERVATION: u64 = 64 << 10;
 
-/// The bytes that bodies may take together.
+/// A limit on the bytes that all bodies together may hold in memory.
 #[derive(Debug, Clone)]
 pub struct BodyBudget {
-    most: u64,
+    capacity: u64,
     used: Rc<Cell<u64>>,
 }
 
-/// Bytes taken from a budget; dropped, they are given back.
+/// Bytes reserved from a [`BodyBudget`], released on drop.
 #[derive(Debug)]
 pub struct BodyReservation {
     bytes: u64,
@@ -25,35 +26,36 @@
 }
 
 impl BodyBudget {
-    /// A budget of `most` bytes.
-    pub fn new(most: u64) -> Self {
-        Self { most, used: Rc::default() }
+    /// Creates a budget of `capacity` bytes.
+    pub fn new(capacity: u64) -> Self {
+        Self { capacity, used: Rc::default() }
     }
 
-    /// Takes room for a body of `length` bytes, if there is any.
+    /// Reserves memory for a body of `length` bytes, or a fixed amount if the length is unknown.
+    /// Returns `None` if that would exceed the budget.
     pub fn try_reserve(&self, length: Option<u64>) -> Option<BodyReservation> {
-        let bytes = length.unwrap_or(UNTOLD_LENGTH);
+        let bytes = length.unwrap_or(UNKNOWN_LENGTH_RESERVATION);
         let used = self.used.get().saturating_add(bytes);
-        if used > self.most {
+        if used > self.capacity {
             return None;
         }
         self.used.set(used);
         Some(BodyReservation { bytes, used: self.used.clone() })
     }
 
-    /// Bytes that bodies may take together.
-    pub fn most(&self) -> u64 {
-        self.most
+    /// Returns the size of the budget, in bytes.
+    pub fn capacity(&self) -> u64 {
+        self.capacity
     }
 
-    /// Bytes in use.
+    /// Returns the reserved bytes.
     pub fn used(&self) -> u64 {
         self.used.get()
     }
 }
 
 impl BodyReservation {
-    /// The bytes that it is of.
+    /// Returns the size of the reservation, in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
--- a/crates/router/src/broken_connections.rs
+++ b/crates/router/src/broken_connections.rs
@@ -1,7 +1,7 @@
-//! Tells a back end that ended from a connection that was reset, closed or spoilt.
+//! Distinguishes a back end that terminated from a single connection that failed.
 //!
-//! When a back end ends, the connections of all its requests break at once, it refuses new ones and nothing more comes from it.
-//! One that closes a connection in the middle of an answer, or resets some of them, still takes new ones.
+//! When a back end terminates, all its connections break, it refuses new ones, and no further
+//! answers arrive from it. A back end that resets some connections still accepts new ones.
 
 use crate::call::Call;
 use crate::quarantine;
@@ -13,76 +13,80 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Times between a broken connection and the first look at whether its back end takes new ones, and from there to the
-/// second. The other connections break meanwhile, and what had been on its way from a living back end comes. A process takes
-/// longer to come back than both.
-const LOOKS_AFTER: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(80)];
+/// Delays before the first connection check, and between the first and the second. Meanwhile the
+/// other connections break, and answers in flight arrive. Restarting a process takes longer than
+/// both.
+const CHECK_DELAYS: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(80)];
 
-/// The requests whose connections to one back end broke at about the same time.
+/// The requests whose connections to one back end broke since a time.
 #[derive(Debug)]
-struct Broken {
+struct BrokenRequests {
     since: Timestamp,
     requests: BTreeSet<RequestFingerprint>,
 }
 
-/// Back ends whose connections broke a moment ago.
+/// The back ends with broken connections whose check is in progress.
 #[derive(Debug, Default)]
-pub struct BrokenConnections(RefCell<HashMap<BackEndId, Broken>>);
+pub struct BrokenConnections(RefCell<HashMap<BackEndId, BrokenRequests>>);
 
 impl BrokenConnections {
-    /// Notes a broken connection. Gives whether it is the back end's first.
+    /// Adds a broken connection. Returns whether it is the first one of the back end, whose check
+    /// is to be started.
     fn add(&self, now: Timestamp, id: &BackEndId, request: RequestFingerprint) -> bool {
         let mut all = self.0.borrow_mut();
         let is_first = !all.contains_key(id);
         let broken = all
             .entry(id.clone())
-            .or_insert_with(|| Broken { since: now, requests: BTreeSet::new() });
+            .or_insert_with(|| BrokenRequests { since: now, requests: BTreeSet::new() });
         broken.requests.insert(request);
         is_first
     }
 
-    /// Whether no connection broke lately.
+    /// Returns whether no check is in progress.
     pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
 
-    /// Back ends of which it isn't known yet whether they ended under a request.
+    /// Returns the number of back ends that may have terminated while running a request and whose
+    /// check is in progress.
     pub fn unresolved_for(&self, request: RequestFingerprint) -> usize {
         self.0.borrow().values().filter(|broken| broken.requests.contains(&request)).count()
     }
 
-    fn take(&self, id: &BackEndId) -> Option<Broken> {
+    fn take(&self, id: &BackEndId) -> Option<BrokenRequests> {
         self.0.borrow_mut().remove(id)
     }
 }
 
-/// The connection of a request that a back end was given broke before its answer was whole.
-pub fn note(router: &Rc<Router>, call: &Call, id: &BackEndId) {
+/// Records that the connection of a request broke before its answer was complete, and starts the
+/// check of the back end.
+pub fn record(router: &Rc<Router>, call: &Call, id: &BackEndId) {
     let request = call.fingerprint();
     let listed = router.dispatcher.borrow().back_end(id).cloned();
-    // One that leaves ends by plan, whatever it was given.
+    // The termination of a draining back end is planned and not caused by a request.
     let Some(back_end) = listed.filter(|listed| listed.state == BackEndState::Ready) else {
         return;
     };
     if router.broken.add(router.now(), id, request) {
-        router.runtime.control().spawn(examine(router.clone(), back_end)).detach();
+        router.runtime.control().spawn(check_back_end(router.clone(), back_end)).detach();
     }
 }
 
-/// Finds out whether a back end ended.
-async fn examine(router: Rc<Router>, back_end: BackEnd) {
-    let is_refused = is_refused_twice(&router, &back_end).await;
+/// Checks whether a back end has terminated, and reports it to the quarantine if so.
+async fn check_back_end(router: Rc<Router>, back_end: BackEnd) {
+    let refuses = refuses_connections(&router, &back_end).await;
     let Some(broken) = router.broken.take(&back_end.id) else { return };
-    let was_heard = router.dispatcher.borrow().has_responded_since(&back_end.id, broken.since);
-    if is_refused && !was_heard {
+    let has_responded = router.dispatcher.borrow().has_responded_since(&back_end.id, broken.since);
+    if refuses && !has_responded {
         quarantine::on_back_end_ended(&router, &back_end, &broken.requests);
     }
 }
 
-async fn is_refused_twice(router: &Router, back_end: &BackEnd) -> bool {
-    for pause in LOOKS_AFTER {
-        router.runtime.sleep(pause).await;
-        if !router.pool.is_refused(back_end.address).await {
+/// Returns whether the back end refuses connections in all checks.
+async fn refuses_connections(router: &Router, back_end: &BackEnd) -> bool {
+    for delay in CHECK_DELAYS {
+        router.runtime.sleep(delay).await;
+        if !router.pool.refuses_connections(back_end.address).await {
             return false;
         }
     }
--- a/crates/router/src/buffered_answer.rs
+++ b/crates/router/src/buffered_answer.rs
@@ -1,39 +1,40 @@
-//! Reading a whole answer within the memory that bodies may take.
+//! Buffers complete answers within the memory budget for bodies.
 //!
-//! An answer that is ready waits at its back end until there is room for it, and is held until its caller has read it.
+//! An answer of known length is not read until its memory is reserved. The reservation is held
+//! until the caller has received the answer.
 
-use crate::body_budget::{BodyBudget, BodyReservation, NO_MEMORY, SMALL_ANSWER};
+use crate::body_budget::{BodyBudget, BodyReservation, MAX_UNRESERVED_ANSWER, NO_MEMORY};
 use crate::runtime::Runtime;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use std::time::Duration;
 
-/// Largest answer that is not a stream, in bytes.
-const LARGEST: usize = 16 << 20;
-/// Time between two looks for room.
-const ROOM_PAUSE: Duration = Duration::from_millis(10);
+/// Maximum size of an answer that is not a stream, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Time between two attempts to reserve memory.
+const RESERVE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A whole answer's body.
+/// The complete body of an answer.
 #[derive(Debug)]
-pub struct WholeAnswer {
-    /// Its bytes.
+pub struct BufferedAnswer {
+    /// The bytes of the body.
     pub bytes: Bytes,
-    /// Memory taken for it: none for a small one.
-    pub share: Option<BodyReservation>,
+    /// The memory reserved for it, `None` for a small body.
+    pub reservation: Option<BodyReservation>,
 }
 
-/// Why there is no whole answer.
+/// Why an answer was not received completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WholeAnswerError {
-    /// It broke off, or it is larger than any may be.
+pub enum BufferedAnswerError {
+    /// The connection failed, or the answer exceeds the maximum size.
     Broken,
-    /// It takes more memory than is left, or than there is.
+    /// The budget has not enough free memory, or is smaller than the answer.
     NoMemory,
 }
 
-impl WholeAnswerError {
-    /// Its name in logs.
+impl BufferedAnswerError {
+    /// Returns the error's name in logs.
     pub fn reason(self) -> &'static str {
         match self {
             Self::Broken => "answer_broke_off",
@@ -42,80 +43,85 @@
     }
 }
 
-/// Reads an answer. One that tells its length waits for room, for as long as its request may take.
+/// Reads the body of an answer. If its length is known, waits for free memory without a timeout of
+/// its own; the caller bounds the wait.
 ///
 /// # Errors
-/// If it did not come whole, or there is no memory for it. One that tells no length waits for none: several that are held in
-/// part would wait for each other.
-pub async fn read_whole(
+/// If the body is incomplete, too large, or does not fit into the budget. A body of unknown length
+/// does not wait for memory, since several partly read ones could wait for each other forever.
+pub async fn read_answer(
     runtime: Runtime,
     budget: &BodyBudget,
     body: Incoming,
-) -> Result<WholeAnswer, WholeAnswerError> {
+) -> Result<BufferedAnswer, BufferedAnswerError> {
     match body.size_hint().exact() {
-        Some(length) if length > LARGEST as u64 => Err(WholeAnswerError::Broken),
-        Some(length) if length > SMALL_ANSWER => {
-            let share = room(runtime, budget, length).await?;
-            let reading =
-                Reading { held: BytesMut::with_capacity(length as usize), share: Some(share) };
-            reading.read(budget, body).await
+        Some(length) if length > MAX_ANSWER_BYTES as u64 => Err(BufferedAnswerError::Broken),
+        Some(length) if length > MAX_UNRESERVED_ANSWER => {
+            let reservation = wait_for_memory(runtime, budget, length).await?;
+            let reader = AnswerReader {
+                buffer: BytesMut::with_capacity(length as usize),
+                reservation: Some(reservation),
+            };
+            reader.read(budget, body).await
         }
-        _ => Reading::default().read(budget, body).await,
+        _ => AnswerReader::default().read(budget, body).await,
     }
 }
 
-/// Waits for room, if there can be any.
-async fn room(
+/// Reserves memory, waiting until enough is free.
+async fn wait_for_memory(
     runtime: Runtime,
     budget: &BodyBudget,
     length: u64,
-) -> Result<BodyReservation, WholeAnswerError> {
-    if length > budget.most() {
-        return Err(WholeAnswerError::NoMemory);
+) -> Result<BodyReservation, BufferedAnswerError> {
+    if length > budget.capacity() {
+        return Err(BufferedAnswerError::NoMemory);
     }
     loop {
-        if let Some(share) = budget.try_reserve(Some(length)) {
-            return Ok(share);
+        if let Some(reservation) = budget.try_reserve(Some(length)) {
+            return Ok(reservation);
         }
-        runtime.sleep(ROOM_PAUSE).await;
+        runtime.sleep(RESERVE_INTERVAL).await;
     }
 }
 
-/// What has come of an answer.
+/// The part of an answer that was received.
 #[derive(Debug, Default)]
-struct Reading {
-    held: BytesMut,
-    share: Option<BodyReservation>,
+struct AnswerReader {
+    buffer: BytesMut,
+    reservation: Option<BodyReservation>,
 }
 
-impl Reading {
+impl AnswerReader {
     async fn read(
         mut self,
         budget: &BodyBudget,
         mut body: Incoming,
-    ) -> Result<WholeAnswer, WholeAnswerError> {
+    ) -> Result<BufferedAnswer, BufferedAnswerError> {
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| WholeAnswerError::Broken)?;
+            let frame = frame.map_err(|_| BufferedAnswerError::Broken)?;
             if let Some(bytes) = frame.data_ref() {
-                self.take(budget, bytes)?;
+                self.append(budget, bytes)?;
             }
         }
-        Ok(WholeAnswer { bytes: self.held.freeze(), share: self.share })
+        Ok(BufferedAnswer { bytes: self.buffer.freeze(), reservation: self.reservation })
     }
 
-    fn take(&mut self, budget: &BodyBudget, bytes: &[u8]) -> Result<(), WholeAnswerError> {
-        let length = self.held.len() + bytes.len();
-        if length > LARGEST {
-            return Err(WholeAnswerError::Broken);
+    fn append(&mut self, budget: &BodyBudget, bytes: &[u8]) -> Result<(), BufferedAnswerError> {
+        let length = self.buffer.len() + bytes.len();
+        if length > MAX_ANSWER_BYTES {
+            return Err(BufferedAnswerError::Broken);
         }
-        let allowed = self.share.as_ref().map_or(SMALL_ANSWER, BodyReservation::bytes);
-        if length as u64 > allowed {
-            // Twice as much each time, as the buffer grows.
-            let larger = (2 * length).min(LARGEST) as u64;
-            self.share = None;
-            self.share = Some(budget.try_reserve(Some(larger)).ok_or(WholeAnswerError::NoMemory)?);
+        let reserved =
+            self.reservation.as_ref().map_or(MAX_UNRESERVED_ANSWER, BodyReservation::bytes);
+        if length as u64 > reserved {
+            // Doubles the reservation like the buffer's growth.
+            let larger = (2 * length).min(MAX_ANSWER_BYTES) as u64;
+            self.reservation = None;
+            self.reservation =
+                Some(budget.try_reserve(Some(larger)).ok_or(BufferedAnswerError::NoMemory)?);
         }
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 }
--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way: what it is, and what was decided on it.
+//! A caller's request and the routing decisions about it.
 
 use crate::body_budget::BodyReservation;
 use crate::dialect::CallerHead;
@@ -15,71 +15,71 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request whose route is known and whose body has arrived.
+/// A routed request whose body has been received completely.
 pub struct Call {
-    /// What the dialect read from its head.
+    /// The information that the dialect parsed from the head.
     pub head: CallerHead,
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// Its headers.
+    /// The headers as received from the caller.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Body,
-    /// Its route.
+    /// The route that matched, and its configuration version.
     pub entry: TableEntry,
-    /// The service that the route's weights chose.
+    /// The service selected by the route's weights.
     pub service: String,
-    /// Its tenant.
+    /// The tenant's name, if the request carried a known key.
     pub tenant: Option<Arc<str>>,
-    /// Its rank.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// Regions in which it may be served.
+    /// The regions in which the request may be served.
     pub regions: AllowedRegions,
-    /// The router that handed its connection on, if it did not come from its caller.
+    /// The router that forwarded the connection, `None` if the caller connected here.
     pub forwarded_by: Option<IpAddr>,
-    /// When its head came.
+    /// When the head was read.
     pub arrived: Timestamp,
-    /// When it must have its final answer.
+    /// When the answer must be complete.
     pub deadline: Timestamp,
-    /// What was decided on its way, for its one log line.
+    /// Routing decisions and timings for the request's log line.
     pub trace: RefCell<Trace>,
-    /// What it is recognized by when it comes again, once that was asked for.
+    /// The cached result of [`Call::fingerprint`].
     pub fingerprint: OnceCell<RequestFingerprint>,
 }
 
-/// What was decided on a request's way.
+/// Routing decisions and timings of a request.
 #[derive(Debug, Clone, Default)]
 pub struct Trace {
-    /// Time until it was placed last.
+    /// Time from arrival to the last placement.
     pub waited: Duration,
-    /// Time from its arrival to its first event or whole answer.
+    /// Time from arrival to the first event or the complete answer.
     pub first_event: Option<Duration>,
-    /// Longest pause between two events.
+    /// Longest time between two events.
     pub longest_pause: Duration,
-    /// Time to the first event that was predicted.
+    /// Predicted time to the first event at the last placement.
     pub predicted: Duration,
-    /// Requests that were known to be at its back end.
+    /// Known requests at the back end at the last placement.
     pub running: u32,
-    /// The concurrency limit of its back end.
+    /// The back end's concurrency limit, in requests.
     pub limit: u32,
-    /// Prompt tokens that its back end was taken to read.
+    /// Prompt tokens estimated not to be in the back end's cache.
     pub uncached: u64,
-    /// Age of the oldest figures that decided.
+    /// Age of the oldest load statistics used for the placement.
     pub age: Duration,
-    /// Times that it was handed to a back end.
+    /// Number of placements at back ends.
     pub sends: u32,
-    /// What decided against it, if it was refused.
+    /// Why it was refused, if it was and a back end was considered.
     pub considered: Option<RefusalDetails>,
-    /// Back ends that were not chosen from when it was placed last or refused.
+    /// Back ends excluded from the last placement or refusal.
     pub left_out: ExcludedBackEnds,
-    /// When its caller was told to come back.
+    /// The retry delay returned to the caller.
     pub retry_after: Option<Duration>,
 }
 
 impl Call {
-    /// What it asks of the dispatcher.
+    /// Returns the request's demand for the dispatcher, without earlier attempts.
     pub fn demand(&self) -> Demand {
         Demand {
             service: self.service.clone(),
@@ -96,8 +96,8 @@
         }
     }
 
-    /// It was given to a back end.
-    pub fn note_placement(&self, placement: &Placement, now: Timestamp) {
+    /// Records that the request was assigned to a back end.
+    pub fn record_placement(&self, placement: &Placement, now: Timestamp) {
         let mut trace = self.trace.borrow_mut();
         trace.waited = now.since(self.arrived);
         trace.predicted = placement.predicted;
@@ -109,21 +109,23 @@
         trace.sends += 1;
     }
 
-    /// It was refused.
-    pub fn note_refusal(&self, refusal: &Refusal) {
+    /// Records that the dispatcher refused the request.
+    pub fn record_refusal(&self, refusal: &Refusal) {
         let mut trace = self.trace.borrow_mut();
         trace.considered = refusal.details.clone();
         trace.left_out = refusal.excluded;
         trace.retry_after = Some(refusal.retry_after);
     }
 
-    /// Its first event or whole answer has come.
-    pub fn note_first_event(&self, now: Timestamp) {
+    /// Records that the first event or the complete answer was received. Later calls have no
+    /// effect.
+    pub fn record_first_event(&self, now: Timestamp) {
         let mut trace = self.trace.borrow_mut();
         trace.first_event.get_or_insert(now.since(self.arrived));
     }
 
-    /// What it is recognized by when it comes again.
+    /// Returns the hash by which a repetition of the request is recognized. It is computed only
+    /// once.
     pub fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             RequestFingerprint::of(&RequestIdentity {
@@ -136,16 +138,16 @@
         })
     }
 
-    /// Time left until its deadline.
+    /// Returns the time left until the deadline, zero if it has passed.
     pub fn time_left(&self, now: Timestamp) -> Duration {
         self.deadline.since(now)
     }
 }
 
-/// The body of a request and its share of the memory for bodies.
+/// The body of a request with its memory reservation.
 pub struct Body {
     /// The bytes.
     pub bytes: Bytes,
-    /// Given back when the request has ended.
-    pub share: BodyReservation,
+    /// Released when the request ends.
+    pub reservation: BodyReservation,
 }
--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -1,10 +1,11 @@
-//! Connections of callers: served here, handed to a peer, or taken from one.
+//! Serves the connections of callers: direct ones, of which a fraction is forwarded to peers under
+//! load, and those that peers forward.
 
 use crate::forwarding::forward_connection;
-use crate::listener::{ListenerLimits, LocalBody, Overflow, close_unread, serve};
+use crate::listener::{ListenerLimits, LocalBody, OverflowHandler, close_unread, serve};
 use crate::offload;
 use crate::router::Router;
-use crate::serve::{Way, serve_request};
+use crate::serve::{Ingress, serve_request};
 use hyper::body::Incoming;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Request, Response};
@@ -13,56 +14,57 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time for which a connection that a peer handed over may rest: a second longer than its caller is told.
-const OFFLOADED_IDLE: Duration = Duration::from_secs(2);
-/// What the caller on such a connection is told of that.
+/// Idle timeout of connections that a peer forwards, a second longer than announced to the caller.
+const OFFLOADED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The `Keep-Alive` value announced on such connections.
 const OFFLOADED_KEEP_ALIVE: &str = "timeout=1";
-/// Time after which the next answer ends such a connection. The peer cannot end it between two requests, since it does
-/// not read them, and may have to stop.
-const OFFLOADED_LIFE: Duration = Duration::from_secs(3);
-/// The header that tells how long a connection may rest.
+/// Age after which the next answer closes such a connection. The forwarding peer, which may be
+/// about to stop, does not parse the traffic and so can't close it between two requests.
+const OFFLOADED_MAX_AGE: Duration = Duration::from_secs(3);
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Serves callers that connect here, and those that peers hand over, until the stop.
+/// Serves direct and forwarded connections until the router stops.
 pub fn serve_callers(
     router: &Rc<Router>,
     callers: TcpListener,
     offloaded: TcpListener,
 ) -> smol::Task<()> {
     let runtime = router.runtime;
-    let asked = router.clone();
-    let limits =
-        move || ListenerLimits { overflow_fraction: asked.overflow_fraction(), ..limits(&asked) };
-    let serving = router.clone();
+    let limits_router = router.clone();
+    let limits = move || ListenerLimits {
+        overflow_fraction: limits_router.overflow_fraction(),
+        ..limits(&limits_router)
+    };
+    let handler_router = router.clone();
     let handler = move |_| {
-        let serving = serving.clone();
-        move |request| serve_request(serving.clone(), Way::Direct, request)
+        let handler_router = handler_router.clone();
+        move |request| serve_request(handler_router.clone(), Ingress::Direct, request)
     };
     let (stop, open) = (router.stop.clone(), router.open.clone());
-    let own = serve(runtime, callers, limits, overflow(router), stop, open, handler);
+    let direct = serve(runtime, callers, limits, overflow(router), stop, open, handler);
     let offloaded = serve_offloaded(router.clone(), offloaded);
     runtime.spawn(async move {
-        smol::future::zip(own, offloaded).await;
+        smol::future::zip(direct, offloaded).await;
     })
 }
 
-/// Serves connections that peers hand over, by the configuration that the greeting told. They end soon, so that a peer that stops
-/// need not cut them.
+/// Serves connections that peers forward, with the configuration version announced in the hello.
+/// They are short-lived, so that a peer can stop without aborting them.
 async fn serve_offloaded(router: Rc<Router>, listener: TcpListener) {
-    let asked = router.clone();
+    let limits_router = router.clone();
     let limits = move || ListenerLimits {
-        idle_timeout: OFFLOADED_IDLE,
-        overflow_fraction: if asked.accepts_offloaded() { 0.0 } else { 1.0 },
-        max_age: Some(OFFLOADED_LIFE),
-        hello: Some(offload::hello(asked.versions().0)),
-        ..limits(&asked)
+        idle_timeout: OFFLOADED_IDLE_TIMEOUT,
+        overflow_fraction: if limits_router.accepts_offloaded() { 0.0 } else { 1.0 },
+        max_age: Some(OFFLOADED_MAX_AGE),
+        hello: Some(offload::hello(limits_router.versions().0)),
+        ..limits(&limits_router)
     };
-    let serving = router.clone();
+    let handler_router = router.clone();
     let handler = move |from: SocketAddr| {
-        let (router, table) = (serving.clone(), serving.table());
+        let (router, table) = (handler_router.clone(), handler_router.table());
         move |request| {
-            let way = Way::HandedOn { by: from.ip(), table: table.clone() };
-            serve_offloaded_request(router.clone(), way, request)
+            let ingress = Ingress::Forwarded { by: from.ip(), table: table.clone() };
+            serve_offloaded_request(router.clone(), ingress, request)
         }
     };
     let (stop, open) = (router.stop.clone(), router.open.clone());
@@ -71,10 +73,10 @@
 
 async fn serve_offloaded_request(
     router: Rc<Router>,
-    way: Way,
+    ingress: Ingress,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let mut response = serve_request(router, way, request).await;
+    let mut response = serve_request(router, ingress, request).await;
     response.headers_mut().insert(KEEP_ALIVE, HeaderValue::from_static(OFFLOADED_KEEP_ALIVE));
     response
 }
@@ -91,7 +93,7 @@
     }
 }
 
-fn overflow(router: &Rc<Router>) -> Overflow {
+fn overflow(router: &Rc<Router>) -> OverflowHandler {
     let router = router.clone();
     Rc::new(move |caller| Box::pin(forward_connection(router.clone(), caller)))
 }
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -1,5 +1,5 @@
-//! A client for calls to peers and to sources, on the router's thread. A connection that gave no whole
-//! reply is never used again.
+//! An HTTP client for calls to peers and to the platform, on the router's thread. A connection is
+//! reused only after a complete reply.
 
 use crate::runtime::Runtime;
 use bytes::Bytes;
@@ -14,89 +14,93 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest reply, in bytes.
-const REPLY_LIMIT: usize = 32 << 20;
-/// Longest time for a connection to come up.
-const CONNECT_LIMIT: Duration = Duration::from_millis(700);
+/// Maximum size of a reply's body, in bytes.
+const MAX_REPLY_BYTES: usize = 32 << 20;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Why a call gave no reply.
+/// Why a call returned no complete reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum CallError {
-    /// No connection came up; nothing was sent.
+    /// Connecting failed or timed out. Nothing was sent.
     #[display("unreachable")]
     Unreachable,
-    /// The connection broke; the call may have taken effect.
+    /// The connection failed or the reply was too large. The call may have taken effect.
     #[display("broken")]
     Broken,
-    /// No whole reply came in time; the call may have taken effect.
+    /// The timeout of the call expired. It may have taken effect.
     #[display("timed_out")]
     TimedOut,
 }
 
-/// A whole reply.
+/// A complete reply.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers, without any filtering.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body, at most 32 MiB.
     pub body: Bytes,
 }
 
-struct Open {
+struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     _driver: smol::Task<()>,
 }
 
-/// Calls to one address, one at a time, over a connection that is kept.
+/// A client for one address that keeps at most one idle connection. Calls are meant to be
+/// sequential; concurrent ones open further connections.
 pub struct LocalClient {
     runtime: Runtime,
     address: SocketAddr,
-    kept: RefCell<Option<Open>>,
+    idle: RefCell<Option<OpenConnection>>,
 }
 
 impl LocalClient {
-    /// A client without a connection.
+    /// Creates a client, which connects at its first call.
     pub fn new(runtime: Runtime, address: SocketAddr) -> Self {
-        Self { runtime, address, kept: RefCell::default() }
+        Self { runtime, address, idle: RefCell::default() }
     }
 
-    /// Makes a call and waits `limit` at most for its whole reply.
+    /// Sends a request and returns the complete reply, whatever its status.
     ///
     /// # Errors
-    /// If no whole reply came.
+    /// If there is no complete reply within `timeout`, connecting included.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Reply, CallError> {
-        self.runtime.within(limit, self.exchange(request)).await.unwrap_or(Err(CallError::TimedOut))
+        self.runtime
+            .within(timeout, self.exchange(request))
+            .await
+            .unwrap_or(Err(CallError::TimedOut))
     }
 
     async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Reply, CallError> {
-        let kept = self.kept.borrow_mut().take();
-        let mut open = match kept.filter(|open| open.sender.is_ready()) {
+        let idle = self.idle.borrow_mut().take();
+        let mut open = match idle.filter(|open| open.sender.is_ready()) {
             Some(open) => open,
-            None => self.open().await?,
+            None => self.connect().await?,
         };
         let answer = open.sender.send_request(request).await.map_err(|_| CallError::Broken)?;
         let (head, body) = answer.into_parts();
-        let body = read_limited(body, REPLY_LIMIT).await;
+        let body = read_limited(body, MAX_REPLY_BYTES).await;
         let body = body.map_err(|_| CallError::Broken)?;
-        *self.kept.borrow_mut() = Some(open);
+        *self.idle.borrow_mut() = Some(open);
         Ok(Reply { status: head.status, headers: head.headers, body })
     }
 
-    async fn open(&self) -> Result<Open, CallError> {
-        let connected = self.runtime.within(CONNECT_LIMIT, TcpStream::connect(self.address)).await;
+    async fn connect(&self) -> Result<OpenConnection, CallError> {
+        let connected =
+            self.runtime.within(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let stream = connected.ok().and_then(Result::ok).ok_or(CallError::Unreachable)?;
-        // A stream that refuses the option still works.
+        // The connection works without the option.
         let _ = stream.set_nodelay(true);
         let opened = handshake(FuturesIo::new(stream)).await;
         let (sender, driver) = opened.map_err(|_| CallError::Unreachable)?;
-        // The driver's own error shows in the call that it ends.
+        // An error of the driver also fails the call.
         let driver = self.runtime.spawn(async move { driver.await.unwrap_or_default() });
-        Ok(Open { sender, _driver: driver })
+        Ok(OpenConnection { sender, _driver: driver })
     }
 }
--- a/crates/router/src/dialect.rs
+++ b/crates/router/src/dialect.rs
@@ -1,4 +1,5 @@
-//! The seams toward callers and back ends: what a dialect reads from messages and writes into them.
+//! The protocol abstraction toward callers and back ends. A dialect maps between the headers of a
+//! protocol and the information that the router needs.
 
 use derive_more::{Display, Error};
 use hyper::header::HeaderMap;
@@ -8,67 +9,68 @@
 
 pub use crate::retry_after::{RetryAfter, RetryAfterError, read_retry_after, retry_after_of};
 
-/// What a caller's request says beside its method, path and body.
+/// The information in the headers of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerHead {
-    /// The caller's name for this request.
+    /// The request's ID, assigned by the caller.
     pub request_id: String,
-    /// Time that the caller waits.
+    /// Time that the caller waits for the answer; `None` means that the route's timeout applies.
     pub time_left: Option<Duration>,
-    /// The key that it presents.
+    /// The tenant's key, if the request carries one.
     pub key: Option<String>,
-    /// Its prompt, if it is for a model.
+    /// The size and parts of the prompt, if the request is for a model.
     pub prompt: Option<Prompt>,
-    /// The last event that the caller has, if it takes a stream up again.
+    /// The number of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// A request that cannot be understood.
+/// Why the head of a request is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum MalformedRequest {
-    /// It carries no name.
+    /// The request ID is missing.
     #[display("the request carries no id")]
     NoId,
-    /// A header is not what it should be.
+    /// The value of a header is invalid.
     #[display("the header {name} is malformed")]
     Header {
-        /// The header.
+        /// The name of the header.
         #[error(not(source))]
         name: &'static str,
     },
 }
 
-/// What a router itself tells a caller.
+/// An answer that the router generates itself instead of relaying one from a back end. The
+/// displayed names are the bodies of these answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum OwnAnswer {
-    /// The request is malformed.
+    /// The request is malformed, or its body was not received completely in time.
     #[display("malformed")]
     Malformed,
-    /// No route serves it.
+    /// No route matches the request's host and path.
     #[display("no_route")]
     NoRoute,
-    /// Its key is missing or unknown.
+    /// The route requires a tenant's key, and the request's key is missing or unknown.
     #[display("unknown_key")]
     UnknownKey,
-    /// Its body is too large.
+    /// The body exceeds the configured limit.
     #[display("too_large")]
     TooLarge,
-    /// It has not run and will not; the caller may come back after the time given.
+    /// The request has not run and will not. The caller may retry it.
     #[display("not_run")]
     NotRun {
-        /// When to come back.
+        /// Time after which the caller may retry, if it is known.
         retry_after: Option<Duration>,
     },
-    /// It may have run; no answer came.
+    /// The request may have run, but no answer was received.
     #[display("unknown_outcome")]
     UnknownOutcome,
-    /// It may have run; its time is over.
+    /// The request may have run, but its deadline passed.
     #[display("out_of_time")]
     OutOfTime,
 }
 
 impl OwnAnswer {
-    /// The status that goes with it.
+    /// Returns the status code of the answer.
     pub fn status(self) -> StatusCode {
         match self {
             OwnAnswer::Malformed => StatusCode::BAD_REQUEST,
@@ -82,65 +84,69 @@
     }
 }
 
-/// What callers speak.
+/// A protocol between callers and the router.
 pub trait CallerDialect {
-    /// Reads a request's head.
+    /// Parses the head of a request.
     ///
     /// # Errors
-    /// If the head does not follow the dialect.
+    /// If the request ID is missing or a header is malformed.
     fn read(&self, head: &http::request::Parts) -> Result<CallerHead, MalformedRequest>;
 
-    /// Headers of an answer that the router gives itself.
+    /// Returns the headers of an answer that the router generates. The request ID is `None` if it
+    /// could not be read.
     fn own_headers(&self, request_id: Option<&str>, answer: OwnAnswer) -> HeaderMap;
 }
 
-/// What is told to a back end about a request.
+/// The information that a dialect adds to a request for a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutgoingCall<'a> {
-    /// The back end that the request is meant for.
+    /// The name of the back end that the request is addressed to.
     pub back_end: &'a str,
-    /// Time that is left.
+    /// Time left until the request's deadline.
     pub time_left: Duration,
-    /// The tenant, if the request presented a key.
+    /// The tenant's name, if the request carried a valid key.
     pub tenant: Option<&'a str>,
-    /// The last event that the caller has.
+    /// The number of the last event that the caller received, if a stream is resumed.
     pub last_event: Option<u64>,
 }
 
-/// What the head of an answer says.
+/// The classes of answers from back ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// The request ran, and this is its answer.
+    /// The request ran, and this is the answer to it.
     Answer,
-    /// The request did not run, since there is no room.
+    /// The request did not run because the back end has no capacity.
     NotRunFull,
-    /// The request did not run, since another life of a back end has the address.
+    /// The request did not run because another incarnation of a back end now has the address.
     NotRunReplaced,
-    /// The answer belongs to another request.
+    /// The answer cannot be attributed to the request.
     Foreign,
 }
 
-/// What the head of an answer says of the back end that gave it, whatever became of the request.
+/// The information about a back end's state in the head of an answer, whatever the request's
+/// outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct BackEndNotice {
-    /// It ends soon and takes nothing new.
+    /// The back end is shutting down and accepts no new requests.
     pub is_draining: bool,
-    /// Time for which it asks this router for no further requests; absent unless it turned the request away.
+    /// Time during which this router should send no further requests. Only set by answers that
+    /// reject the request.
     pub retry_after: RetryAfter,
 }
 
-/// What back ends speak.
+/// A protocol between the router and back ends.
 pub trait BackEndDialect {
-    /// The end-to-end headers of a request to a back end, from those that the caller sent.
+    /// Returns the headers of a request to a back end, derived from those that the caller sent.
+    /// Hop-by-hop headers are removed afterwards.
     fn outgoing(&self, caller: &HeaderMap, call: &OutgoingCall<'_>) -> HeaderMap;
 
-    /// What the head of an answer to the request `request_id` says.
+    /// Classifies an answer to the request `request_id` by its head.
     fn classify(&self, request_id: &str, head: &http::response::Parts) -> AnswerKind;
 
-    /// What the head of an answer to the request `request_id` says of its back end; nothing unless it is surely the back end's answer to
-    /// this request.
+    /// Returns the back end's state according to the head of an answer to the request `request_id`.
+    /// The notice is empty unless the answer is certainly that back end's answer to this request.
     fn notice(&self, request_id: &str, head: &http::response::Parts) -> BackEndNotice;
 
-    /// The number of an event of a stream, if it has one.
+    /// Returns the number of a stream's event, if it has one.
     fn event_number(&self, event: &[u8]) -> Option<u64>;
 }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -1,19 +1,20 @@
-//! A request's way to back ends: placed, sent, sent again where that is allowed, answered.
+//! The exchange of a request with back ends: placement, sending, retries and the answer to the
+//! caller.
 
 use crate::broken_connections;
-use crate::buffered_answer::{WholeAnswer, WholeAnswerError, read_whole};
+use crate::buffered_answer::{BufferedAnswer, BufferedAnswerError, read_answer};
 use crate::call::Call;
 use crate::dialect::OwnAnswer;
 use crate::events;
-use crate::headers::{is_delimited, keep_end_to_end};
+use crate::headers::{is_delimited, remove_hop_by_hop};
 use crate::listener::{LocalBody, full_with_guard};
 use crate::outcome::{Outcome, OutcomeKind};
-use crate::own_answers::{note_end, own_answer};
+use crate::own_answers::{own_answer, record_end};
 use crate::pool::BackEndConnection;
 use crate::quarantine;
-use crate::relay::{Relay, Source, StreamBody};
+use crate::relay::{Relay, StreamBody, StreamSource};
 use crate::router::Router;
-use crate::send::{Sender, Try};
+use crate::send::{RequestSender, SendOutcome};
 use crate::ticket::Ticket;
 use hyper::body::Incoming;
 use hyper::{Response, StatusCode, http};
@@ -24,33 +25,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Back ends that are tried in vain, without a byte sent or with their word that it did not run.
-const MOST_REJECTIONS: u32 = 3;
-/// A request on its way.
+/// Maximum number of attempts that send nothing or that the back end rejects without running the
+/// request.
+const MAX_REJECTIONS: u32 = 3;
+
+/// The state of a request over all its attempts.
 pub struct Exchange {
     router: Rc<Router>,
     call: Rc<Call>,
     attempt: Rc<RefCell<Attempt>>,
     tried: Vec<BackEndId>,
-    /// Times that a byte of it left for a back end.
-    arrivals: u32,
+    /// Attempts that may have sent some of the request.
+    deliveries: u32,
     rejections: u32,
-    /// It is quarantined and let through once.
+    /// The request is quarantined, and this is its one probe.
     is_probe: bool,
 }
 
-/// What came of all tries.
-pub enum Ended {
-    /// A whole answer of a back end.
-    Answer(http::response::Parts, WholeAnswer, BackEndId),
-    /// A stream has begun.
+/// The result of all attempts.
+pub enum ExchangeResult {
+    /// A complete answer from a back end.
+    Answer(http::response::Parts, BufferedAnswer, BackEndId),
+    /// The head of a stream; the body follows.
     Stream(http::response::Parts, Box<Relay>),
-    /// The router gives up.
+    /// No answer was obtained. Holds the router's own answer and the logged reason.
     GivenUp(OwnAnswer, &'static str),
 }
 
 impl Exchange {
-    /// Brings a request to its answer, or to the beginning of its stream.
+    /// Runs the exchange until there is a complete answer or the head of a stream, or until the
+    /// deadline.
     pub async fn run(router: &Rc<Router>, call: Rc<Call>) -> Response<LocalBody> {
         let route = &call.entry.route;
         let attempt = Attempt::new(route.is_idempotent(), route.max_attempts);
@@ -62,29 +66,29 @@
             call: call.clone(),
             attempt: attempt.clone(),
             tried: Vec::new(),
-            arrivals: 0,
+            deliveries: 0,
             rejections: 0,
             is_probe: false,
         };
-        let unfinished = Unfinished::new(router, &call);
-        let ended = match router.runtime.within(call.time_left(now), exchange.drive()).await {
-            Ok(ended) => ended,
+        let caller_gone = CallerGoneGuard::new(router, &call);
+        let result = match router.runtime.within(call.time_left(now), exchange.drive()).await {
+            Ok(result) => result,
             Err(_) => out_of_time(&attempt.borrow()),
         };
-        unfinished.finished();
-        answer(router, &call, ended)
+        caller_gone.disarm();
+        answer(router, &call, result)
     }
 
-    async fn drive(mut self) -> Ended {
+    async fn drive(mut self) -> ExchangeResult {
         loop {
-            // After a suspension limits end some moments late.
+            // After a suspension of the machine, the timeout fires with some delay.
             if self.call.time_left(self.router.now()).is_zero() {
                 return out_of_time(&self.attempt.borrow());
             }
             let mut demand = self.call.demand();
             demand.tried = self.tried.clone();
             match quarantine::status(&self.router, &self.call).await {
-                QuarantineStatus::Quarantined { retry_after, .. } if !self.takes_probe() => {
+                QuarantineStatus::Quarantined { retry_after, .. } if !self.try_start_probe() => {
                     return self.quarantined(retry_after);
                 }
                 QuarantineStatus::Quarantined { .. } | QuarantineStatus::Suspect => {
@@ -97,44 +101,49 @@
                 Ok(obtained) => obtained,
                 Err(refusal) => return self.refused(refusal),
             };
-            // A request that waited for its place may be quarantined meanwhile.
+            // The request may have been quarantined while it waited in the queue.
             if !self.is_probe
                 && let Some(retry_after) = quarantine::retry_after(&self.router, &self.call)
             {
                 return self.quarantined(retry_after);
             }
-            if self.arrivals > 0 && !self.router.take_retry(&self.call.service) {
+            if self.deliveries > 0 && !self.router.take_retry(&self.call.service) {
                 return self.give_up("retry_budget");
             }
-            self.call.note_placement(&placement, self.router.now());
-            let tried = self.try_once(&placement).await;
-            if !matches!(tried, Try::NotSent(_)) {
-                self.arrivals += 1;
+            self.call.record_placement(&placement, self.router.now());
+            let sent = self.send(&placement).await;
+            if !matches!(sent, SendOutcome::NotSent(_)) {
+                self.deliveries += 1;
             }
-            match self.settle(tried, ticket, &placement).await {
-                Some(ended) => return ended,
+            match self.handle_outcome(sent, ticket, &placement).await {
+                Some(result) => return result,
                 None => self.tried.push(placement.back_end.id),
             }
         }
     }
 
-    /// Ends the exchange, or gives nothing if the request goes to a further back end.
-    async fn settle(&mut self, tried: Try, ticket: Ticket, placement: &Placement) -> Option<Ended> {
-        let (fault, reason) = match tried {
-            Try::Answered(head, body, connection) => {
+    /// Evaluates one attempt. Returns `None` if the request may be sent to another back end.
+    async fn handle_outcome(
+        &mut self,
+        sent: SendOutcome,
+        ticket: Ticket,
+        placement: &Placement,
+    ) -> Option<ExchangeResult> {
+        let (fault, reason) = match sent {
+            SendOutcome::Answered(head, body, connection) => {
                 self.attempt.borrow_mut().on_answer();
-                return self.take_answer(head, body, *connection, ticket, placement).await;
+                return self.handle_answer(head, body, *connection, ticket, placement).await;
             }
-            Try::NotSent(fault) => {
+            SendOutcome::NotSent(fault) => {
                 self.rejections += 1;
                 (fault, "not_sent")
             }
-            Try::NotRun(fault) => {
+            SendOutcome::NotRun(fault) => {
                 self.attempt.borrow_mut().on_not_run();
                 self.rejections += 1;
                 (fault, "not_run")
             }
-            Try::Lost(fault) => {
+            SendOutcome::Lost(fault) => {
                 self.attempt.borrow_mut().on_lost();
                 (fault, "lost")
             }
@@ -142,33 +151,35 @@
         events::try_failed(&self.call, placement, fault, reason);
         ticket.fail(fault);
         drop(ticket);
-        let goes_on = self.attempt.borrow().may_send() && self.rejections < MOST_REJECTIONS;
-        if goes_on { None } else { Some(self.give_up(reason)) }
+        let may_retry = self.attempt.borrow().may_send() && self.rejections < MAX_REJECTIONS;
+        if may_retry { None } else { Some(self.give_up(reason)) }
     }
 
-    async fn take_answer(
+    /// Starts relaying a stream, or reads a complete answer. Returns `None` if the request may be
+    /// sent to another back end.
+    async fn handle_answer(
         &mut self,
         head: http::response::Parts,
         body: Incoming,
         connection: BackEndConnection,
         ticket: Ticket,
         placement: &Placement,
-    ) -> Option<Ended> {
+    ) -> Option<ExchangeResult> {
         let id = placement.back_end.id.clone();
         let is_delimited = is_delimited(&head.headers);
         if self.call.entry.route.kind == RouteKind::Streaming && head.status == StatusCode::OK {
-            let source = Source { ticket, back_end: id, connection, body, is_delimited };
+            let source = StreamSource { ticket, back_end: id, connection, body, is_delimited };
             let tried = std::mem::take(&mut self.tried);
             let relay = Relay::new(&self.router, &self.call, &self.attempt, source, tried);
-            return Some(Ended::Stream(head, Box::new(relay)));
+            return Some(ExchangeResult::Stream(head, Box::new(relay)));
         }
-        let body = match read_whole(self.router.runtime, &self.router.bodies, body).await {
+        let body = match read_answer(self.router.runtime, &self.router.bodies, body).await {
             Ok(body) => body,
-            Err(error) => return self.without_answer(error, ticket, &id),
+            Err(error) => return self.handle_incomplete_answer(error, ticket, &id),
         };
-        self.router.pool.keep(&id, connection);
+        self.router.pool.release(&id, connection);
         ticket.on_first_event();
-        self.call.note_first_event(self.router.now());
+        self.call.record_first_event(self.router.now());
         if head.status.is_server_error() {
             ticket.fail(Fault::Failure);
             if self.attempt.borrow().may_send() && self.router.has_retries(&self.call.service) {
@@ -180,19 +191,20 @@
                 quarantine::on_served(&self.router, &self.call);
             }
         }
-        Some(Ended::Answer(head, body, id))
+        Some(ExchangeResult::Answer(head, body, id))
     }
 
-    /// Ends the exchange whose answer did not come whole, or gives nothing if the request goes to a further back end.
-    fn without_answer(
+    /// Evaluates an answer that was not received completely. Returns `None` if the request may be
+    /// sent to another back end.
+    fn handle_incomplete_answer(
         &self,
-        error: WholeAnswerError,
+        error: BufferedAnswerError,
         ticket: Ticket,
         back_end: &BackEndId,
-    ) -> Option<Ended> {
+    ) -> Option<ExchangeResult> {
         self.attempt.borrow_mut().on_lost();
-        if error == WholeAnswerError::Broken {
-            broken_connections::note(&self.router, &self.call, back_end);
+        if error == BufferedAnswerError::Broken {
+            broken_connections::record(&self.router, &self.call, back_end);
             ticket.fail(Fault::Broken);
             if self.attempt.borrow().may_send() {
                 return None;
@@ -201,104 +213,114 @@
         Some(self.give_up(error.reason()))
     }
 
-    async fn try_once(&self, placement: &Placement) -> Try {
-        let sender = Sender { router: &self.router, call: &self.call, attempt: &self.attempt };
+    async fn send(&self, placement: &Placement) -> SendOutcome {
+        let sender =
+            RequestSender { router: &self.router, call: &self.call, attempt: &self.attempt };
         sender.send(placement, self.call.head.last_event, true).await
     }
 
-    fn refused(&self, refusal: Refusal) -> Ended {
-        self.call.note_refusal(&refusal);
-        self.told(refusal.retry_after, refusal.reason.name())
+    fn refused(&self, refusal: Refusal) -> ExchangeResult {
+        self.call.record_refusal(&refusal);
+        self.give_up_with_retry_after(refusal.retry_after, refusal.reason.name())
     }
 
-    /// Whether a quarantined request is let through here: before its first send, and once.
-    fn takes_probe(&mut self) -> bool {
-        let is_new = self.arrivals == 0 && self.rejections == 0;
+    /// Returns whether a quarantined request is sent as a probe. A probe must be its first attempt.
+    fn try_start_probe(&mut self) -> bool {
+        let is_new = self.deliveries == 0 && self.rejections == 0;
         self.is_probe = is_new && quarantine::take_probe(&self.router, &self.call);
         self.is_probe
     }
 
-    fn quarantined(&self, retry_after: Duration) -> Ended {
+    fn quarantined(&self, retry_after: Duration) -> ExchangeResult {
         self.call.trace.borrow_mut().retry_after = Some(retry_after);
         self.router.metrics.on_quarantined_call();
-        self.told(retry_after, "quarantined")
+        self.give_up_with_retry_after(retry_after, "quarantined")
     }
 
-    fn give_up(&self, reason: &'static str) -> Ended {
+    fn give_up(&self, reason: &'static str) -> ExchangeResult {
         let now = self.router.now();
         let dispatcher = self.router.dispatcher.borrow();
         let until = dispatcher.until_backoff_ends(now, &self.call.demand(), rand::random());
-        self.told(until.unwrap_or(REJECTED_PAUSE), reason)
+        self.give_up_with_retry_after(until.unwrap_or(REJECTED_RETRY_AFTER), reason)
     }
 
-    /// What the caller is told of a request that goes to no further back end.
-    fn told(&self, retry_after: Duration, reason: &'static str) -> Ended {
+    /// Gives up with an answer that depends on whether the request may have run. The retry delay is
+    /// only returned if it has not.
+    fn give_up_with_retry_after(
+        &self,
+        retry_after: Duration,
+        reason: &'static str,
+    ) -> ExchangeResult {
         let answer = match self.attempt.borrow().execution_status() {
             ExecutionStatus::NotRun => OwnAnswer::NotRun { retry_after: Some(retry_after) },
             ExecutionStatus::MayHaveRun => OwnAnswer::UnknownOutcome,
         };
-        Ended::GivenUp(answer, reason)
+        ExchangeResult::GivenUp(answer, reason)
     }
 }
 
-/// When a caller may come back whose request back ends did not take.
-const REJECTED_PAUSE: Duration = Duration::from_millis(400);
+/// Retry delay returned when no back end accepted the request and none is backing off.
+const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-fn out_of_time(attempt: &Attempt) -> Ended {
+fn out_of_time(attempt: &Attempt) -> ExchangeResult {
     match attempt.execution_status() {
         ExecutionStatus::NotRun => {
-            Ended::GivenUp(OwnAnswer::NotRun { retry_after: None }, "out_of_time")
+            ExchangeResult::GivenUp(OwnAnswer::NotRun { retry_after: None }, "out_of_time")
         }
-        ExecutionStatus::MayHaveRun => Ended::GivenUp(OwnAnswer::OutOfTime, "out_of_time"),
+        ExecutionStatus::MayHaveRun => ExchangeResult::GivenUp(OwnAnswer::OutOfTime, "out_of_time"),
     }
 }
 
-/// Notes a request whose caller goes away before its answer.
-struct Unfinished<'a> {
+/// Records on drop that the caller disconnected before its answer, unless it was disarmed.
+struct CallerGoneGuard<'a> {
     router: &'a Router,
     call: &'a Call,
-    finished: bool,
+    disarmed: bool,
 }
 
-impl<'a> Unfinished<'a> {
+impl<'a> CallerGoneGuard<'a> {
     fn new(router: &'a Router, call: &'a Call) -> Self {
-        Self { router, call, finished: false }
+        Self { router, call, disarmed: false }
     }
 
-    fn finished(mut self) {
-        self.finished = true;
+    fn disarm(mut self) {
+        self.disarmed = true;
     }
 }
 
-impl Drop for Unfinished<'_> {
+impl Drop for CallerGoneGuard<'_> {
     fn drop(&mut self) {
-        if !self.finished {
-            note_end(self.router, self.call, &Outcome::new(OutcomeKind::CallerGone));
+        if !self.disarmed {
+            record_end(self.router, self.call, &Outcome::new(OutcomeKind::CallerGone));
         }
     }
 }
 
-fn answer(router: &Rc<Router>, call: &Rc<Call>, ended: Ended) -> Response<LocalBody> {
-    match ended {
-        Ended::Answer(mut head, body, id) => {
+fn answer(router: &Rc<Router>, call: &Rc<Call>, result: ExchangeResult) -> Response<LocalBody> {
+    match result {
+        ExchangeResult::Answer(mut head, body, id) => {
             let status = head.status.as_u16();
-            note_end(router, call, &Outcome::new(OutcomeKind::Answered).status(status).at(&id));
-            keep_end_to_end(&mut head.headers);
-            let mut response = Response::new(full_with_guard(body.share, body.bytes));
+            record_end(
+                router,
+                call,
+                &Outcome::new(OutcomeKind::Answered).with_status(status).with_back_end(&id),
+            );
+            remove_hop_by_hop(&mut head.headers);
+            let mut response = Response::new(full_with_guard(body.reservation, body.bytes));
             *response.status_mut() = head.status;
             *response.headers_mut() = head.headers;
             response
         }
-        Ended::Stream(mut head, relay) => {
-            keep_end_to_end(&mut head.headers);
+        ExchangeResult::Stream(mut head, relay) => {
+            remove_hop_by_hop(&mut head.headers);
             let body: LocalBody = Box::pin(StreamBody::new(*relay));
             let mut response = Response::new(body);
             *response.headers_mut() = head.headers;
             response
         }
-        Ended::GivenUp(own, reason) => {
-            let outcome = Outcome::new(OutcomeKind::GivenUp).status(own.status().as_u16());
-            note_end(router, call, &outcome.because(reason));
+        ExchangeResult::GivenUp(own, reason) => {
+            let outcome = Outcome::new(OutcomeKind::GivenUp).with_status(own.status().as_u16());
+            record_end(router, call, &outcome.with_reason(reason));
             router.metrics.on_own_answer(own);
             own_answer(router, Some(&call.head.request_id), own)
         }
--- a/crates/router/src/headers.rs
+++ b/crates/router/src/headers.rs
@@ -1,11 +1,11 @@
-//! Headers that concern one connection or one message only.
+//! Hop-by-hop headers and message framing.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Removes what concerns one connection only.
-pub fn keep_end_to_end(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers, those named by `Connection`, and `Content-Length`.
+pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -26,7 +26,8 @@
     }
 }
 
-/// Whether an answer tells its own end. One that ends with its connection may have been cut.
+/// Returns whether the message is framed by a length or by chunks. A message that ends when its
+/// connection closes may have been truncated.
 pub fn is_delimited(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and ending them when the router stops.
+//! Accepts HTTP connections within limits and shuts them down gracefully when the router stops.
 
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use hyper::header::{CONNECTION, HeaderValue};
@@ -24,32 +24,32 @@
 use crate::events;
 use crate::offload::HELLO_LENGTH;
 use crate::runtime::Runtime;
-use crate::write_timeout::UnreadGuard;
+use crate::write_timeout::WriteTimeoutStream;
 
-/// The body of an answer; it need not leave the router's thread.
+/// The body of an answer. It is not `Send`: all connections are served on one thread.
 pub type LocalBody = Pin<Box<dyn Body<Data = Bytes, Error = BodyError>>>;
 
-/// A body known in full.
+/// Creates a body from `bytes`.
 pub fn full(bytes: impl Into<Bytes>) -> LocalBody {
     full_with_guard((), bytes)
 }
 
-/// A body known in full that keeps `holder` until its last byte is given away.
-pub fn full_with_guard<T: Unpin + 'static>(holder: T, bytes: impl Into<Bytes>) -> LocalBody {
-    Box::pin(WholeBody { left: bytes.into(), _holder: holder })
+/// Creates a body from `bytes` that holds `guard` until the body is dropped.
+pub fn full_with_guard<T: Unpin + 'static>(guard: T, bytes: impl Into<Bytes>) -> LocalBody {
+    Box::pin(ChunkedBody { remaining: bytes.into(), _guard: guard })
 }
 
-/// Bytes of a known body that are given away at a time. The HTTP library copies what it is given before it writes any of it: given whole, a
-/// list of 0.6 MB that 64 routers fetch at once took 40.8 MB more of the heap.
-const PIECE: usize = 32 << 10;
+/// Size of the chunks of a body, in bytes. hyper copies each chunk into its write buffer, so large
+/// chunks would double the memory of an answer.
+const CHUNK_SIZE: usize = 32 << 10;
 
-/// A body known in full, in pieces.
-struct WholeBody<T> {
-    left: Bytes,
-    _holder: T,
+/// A body in memory, written in chunks.
+struct ChunkedBody<T> {
+    remaining: Bytes,
+    _guard: T,
 }
 
-impl<T: Unpin> Body for WholeBody<T> {
+impl<T: Unpin> Body for ChunkedBody<T> {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -57,60 +57,61 @@
         mut self: Pin<&mut Self>,
         _context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if self.left.is_empty() {
+        if self.remaining.is_empty() {
             return Poll::Ready(None);
         }
-        let length = self.left.len().min(PIECE);
-        let piece = self.left.split_to(length);
-        Poll::Ready(Some(Ok(Frame::data(piece))))
+        let length = self.remaining.len().min(CHUNK_SIZE);
+        let chunk = self.remaining.split_to(length);
+        Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left.is_empty()
+        self.remaining.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.left.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 }
 
-/// Bounds on connections.
+/// Limits and options of a listener's connections.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ListenerLimits {
-    /// Most connections open at a time.
+    /// Maximum number of open connections, counted over all listeners that share the
+    /// [`OpenConnections`]. Further ones are closed unread.
     pub max_connections: usize,
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Longest time that a connection rests, or that a head takes.
+    /// Maximum time between two requests, and for receiving a request's head.
     pub idle_timeout: Duration,
-    /// Part of the new connections that are not served but left to the listener's [`Overflow`].
+    /// Fraction of new connections, 0 to 1, that are passed to the [`OverflowHandler`].
     pub overflow_fraction: f64,
-    /// Time after which the next answer ends a connection, if there is any.
+    /// Age after which the next answer closes the connection, `None` for no limit.
     pub max_age: Option<Duration>,
-    /// What is sent before anything is read, to routers that hand a connection on.
+    /// Message sent before anything is read, on connections that other routers forward.
     pub hello: Option<[u8; HELLO_LENGTH]>,
 }
 
-/// What became of a connection that a listener does not serve itself.
+/// The result of an [`OverflowHandler`].
 pub enum OverflowResult {
-    /// It was served elsewhere, or closed unread: its caller then knows that nothing was read.
+    /// The connection was served elsewhere, or closed unread.
     Done,
-    /// It is served here after all.
+    /// The listener has to serve the connection itself.
     ServeHere(TcpStream),
 }
 
-/// Takes connections that a listener does not serve itself.
-pub type Overflow = Rc<dyn Fn(TcpStream) -> Pin<Box<dyn Future<Output = OverflowResult>>>>;
+/// Handles new connections instead of the listener while the router is overloaded.
+pub type OverflowHandler = Rc<dyn Fn(TcpStream) -> Pin<Box<dyn Future<Output = OverflowResult>>>>;
 
-/// Closes connections unread.
-pub fn close_unread() -> Overflow {
+/// Returns a handler that closes connections without reading from them.
+pub fn close_unread() -> OverflowHandler {
     Rc::new(|stream| {
         drop(stream);
         Box::pin(std::future::ready(OverflowResult::Done))
     })
 }
 
-/// Closed once: wakes all that wait for it.
+/// A one-time signal that wakes all waiting tasks. Clones share the signal.
 #[derive(Debug, Clone)]
 pub struct StopSignal {
     sender: Sender<Infallible>,
@@ -125,44 +126,45 @@
 }
 
 impl StopSignal {
-    /// Gives the signal.
+    /// Triggers the signal. Further calls have no effect.
     pub fn trigger(&self) {
         self.sender.close();
     }
 
-    /// Waits for the signal.
+    /// Waits for the signal. Returns at once if it was already triggered.
     pub async fn wait(&self) {
-        // The channel carries nothing; it only closes.
+        // Closing the channel is the signal; no value is ever sent.
         let _ = self.receiver.recv().await;
     }
 }
 
-/// Pause after a connection that finds the listener full. Without it a router with 1,600 open connections took no turn
-/// for 3 s, by its own lateness, while callers came back at once.
-const FULL_PAUSE: Duration = Duration::from_millis(10);
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Smallest buffer that the HTTP library takes, in bytes.
-const LEAST_BUFFER: usize = 8 << 10;
-/// What a head may take beyond its limit before the connection is ended, in bytes.
+/// Delay after closing a connection above the limit. Callers that reconnect at once would otherwise
+/// keep the accept loop busy and starve other tasks.
+const FULL_BACKOFF: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, which otherwise repeats at once while file descriptors are
+/// exhausted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// Minimum buffer size that hyper accepts, in bytes.
+const MIN_BUFFER: usize = 8 << 10;
+/// How far a request's head may exceed its limit before the connection is closed, in bytes.
 const HEAD_SLACK: usize = 2 << 10;
 
-/// Connections that the operating system holds until they are accepted. The usual 128 overflow when
-/// many callers come at once, and those that are dropped try again only seconds later.
+/// Length of the accept queue. The usual 128 overflows in bursts, and dropped connection attempts
+/// are retried only after a second or more.
 const BACKLOG: i32 = 1_024;
 
-/// What the operating system holds of an answer that its caller does not read, in bytes. It grows to some megabytes otherwise, and a
-/// back end learns only then that nobody reads; at round trips of 3 ms it carries 40 MB a second.
+/// Send buffer of a socket, in bytes. With automatic sizing it grows to several megabytes, which
+/// delays backpressure from a slow caller to the back end.
 const SEND_BUFFER: usize = 128 << 10;
 
-/// Opens a listening address.
+/// Opens a listening socket.
 ///
 /// # Errors
-/// If the operating system refuses it.
+/// If the address cannot be bound or an option of the socket cannot be set.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    // Connections that are accepted have the same.
+    // Accepted sockets inherit the size.
     socket.set_send_buffer_size(SEND_BUFFER)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
@@ -171,13 +173,14 @@
     Ok(TcpListener::from(smol::Async::new_nonblocking(listener)?))
 }
 
-/// Serves connections until the stop is signalled, then until the last has ended. `limits` are asked for
-/// each connection, since a configuration may change them, and so is `handler`, by the address that connects.
+/// Accepts connections until `stop` is triggered, then waits until the open ones have finished.
+/// `limits` and `handler` are called for each connection, so a new configuration applies to new
+/// connections. `handler` gets the address of the remote side.
 pub async fn serve<H, F>(
     runtime: Runtime,
     listener: TcpListener,
     limits: impl Fn() -> ListenerLimits,
-    overflow: Overflow,
+    overflow: OverflowHandler,
     stop: StopSignal,
     open: OpenConnections,
     handler: impl Fn(SocketAddr) -> H,
@@ -185,7 +188,8 @@
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<LocalBody>> + 'static,
 {
-    let (alive, all_ended) = smol::channel::bounded::<Infallible>(1);
+    // Each connection holds a sender, so the channel closes when the last one has finished.
+    let (alive, all_finished) = smol::channel::bounded::<Infallible>(1);
     loop {
         let accepted = async { Some(listener.accept().await) };
         let stopped = async {
@@ -194,12 +198,11 @@
         };
         match accepted.or(stopped).await {
             None => break,
-            // Dropped unread: its caller knows that nothing was read. Callers that come back at once would otherwise
-            // keep this loop busy, and nothing else would run.
+            // Nothing was read, so the caller can safely retry.
             Some(Ok((stream, _))) if open.count() >= limits().max_connections => {
                 drop(stream);
-                open.note_refused();
-                runtime.sleep(FULL_PAUSE).await;
+                open.record_refused();
+                runtime.sleep(FULL_BACKOFF).await;
             }
             Some(Ok((stream, from))) => {
                 let limits = limits();
@@ -207,77 +210,78 @@
                     && rand::random::<f64>() < limits.overflow_fraction;
                 let overflow = overflows.then(|| overflow.clone());
                 let (handler, stop, alive) = (handler(from), stop.clone(), alive.clone());
-                let counted = Counted::new(&open);
-                let noting = open.clone();
-                let on_unread = Rc::new(move || noting.note_unread(from));
+                let open_guard = OpenGuard::new(&open);
+                let recorder = open.clone();
+                let on_write_timeout = Rc::new(move || recorder.record_write_timeout(from));
                 let task = runtime.spawn(async move {
-                    let here = match overflow {
+                    let result = match overflow {
                         None => OverflowResult::ServeHere(stream),
                         Some(overflow) => overflow(stream).await,
                     };
-                    if let OverflowResult::ServeHere(stream) = here {
-                        // A stream that refuses the option still works.
+                    if let OverflowResult::ServeHere(stream) = result {
+                        // The connection works without the option.
                         let _ = stream.set_nodelay(true);
-                        let stream = UnreadGuard::new(stream, runtime, on_unread);
+                        let stream = WriteTimeoutStream::new(stream, runtime, on_write_timeout);
                         serve_connection(runtime, stream, limits, stop, handler).await;
                     }
-                    drop(counted);
+                    drop(open_guard);
                     drop(alive);
                 });
                 task.detach();
             }
-            Some(Err(_)) => runtime.sleep(ACCEPT_PAUSE).await,
+            Some(Err(_)) => runtime.sleep(ACCEPT_BACKOFF).await,
         }
     }
     drop(listener);
     drop(alive);
-    let _ = all_ended.recv().await;
+    let _ = all_finished.recv().await;
 }
 
-/// Connections that are open at listeners, and those that found them full.
+/// Counters of connections, shared by listeners that have a common limit.
 #[derive(Debug, Clone, Default)]
 pub struct OpenConnections {
     open: Rc<Cell<usize>>,
     refused: Rc<Cell<u32>>,
-    unread: Rc<Cell<u32>>,
+    write_timeouts: Rc<Cell<u32>>,
 }
 
 impl OpenConnections {
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
         self.open.get()
     }
 
-    /// The number of connections closed unread since the last call, because as many as may be open were open.
+    /// Returns the number of connections closed at the limit since the last call.
     pub fn take_refused(&self) -> u32 {
         self.refused.take()
     }
 
-    /// The number of connections ended since the last call, because their callers did not read what they asked for.
+    /// Returns the number of connections closed by a write timeout since the last call.
     pub fn take_write_timeouts(&self) -> u32 {
-        self.unread.take()
+        self.write_timeouts.take()
     }
 
-    fn note_unread(&self, caller: SocketAddr) {
-        self.unread.set(self.unread.get().saturating_add(1));
+    fn record_write_timeout(&self, caller: SocketAddr) {
+        self.write_timeouts.set(self.write_timeouts.get().saturating_add(1));
         events::answer_unread(caller);
     }
 
-    fn note_refused(&self) {
+    fn record_refused(&self) {
         self.refused.set(self.refused.get().saturating_add(1));
     }
 }
 
-struct Counted(OpenConnections);
+/// Counts one open connection until it is dropped.
+struct OpenGuard(OpenConnections);
 
-impl Counted {
+impl OpenGuard {
     fn new(open: &OpenConnections) -> Self {
         open.open.set(open.count() + 1);
         Self(open.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.count().saturating_sub(1));
     }
@@ -285,7 +289,7 @@
 
 async fn serve_connection<H, F>(
     runtime: Runtime,
-    mut stream: UnreadGuard<TcpStream>,
+    mut stream: WriteTimeoutStream<TcpStream>,
     limits: ListenerLimits,
     stop: StopSignal,
     handler: H,
@@ -298,12 +302,12 @@
     {
         return;
     }
-    let ends = limits.max_age.map(|life| runtime.now() + life);
+    let close_after = limits.max_age.map(|age| runtime.now() + age);
     let service = service_fn(move |request| {
         let answer = handler(request);
         async move {
             let mut answer = answer.await;
-            if ends.is_some_and(|ends| runtime.now() >= ends) {
+            if close_after.is_some_and(|close_after| runtime.now() >= close_after) {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, Infallible>(answer)
@@ -312,11 +316,11 @@
     let connection = http1::Builder::new()
         .timer(runtime.http_timer())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size((limits.head_bytes + HEAD_SLACK).max(LEAST_BUFFER))
+        .max_buf_size((limits.head_bytes + HEAD_SLACK).max(MIN_BUFFER))
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
-    let ended = async {
-        // A connection that its caller broke needs no answer.
+    let finished = async {
+        // There is nothing left to do after a connection error.
         let _ = connection.as_mut().await;
         true
     };
@@ -324,7 +328,7 @@
         stop.wait().await;
         false
     };
-    if !ended.or(stopped).await {
+    if !finished.or(stopped).await {
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
--- a/crates/router/src/log_rate_limiter.rs
+++ b/crates/router/src/log_rate_limiter.rs
@@ -1,35 +1,32 @@
-//! A bound on log lines about requests: under load failures are kept before successes, and what is left
-//! out is counted.
+//! Limits the rate of log lines about requests, with separate limits for successes and failures,
+//! and counts the suppressed lines.
 
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// Lines about successes in a second.
-const SUCCESSES_PER_SECOND: u32 = 200;
-/// Lines about failures in a second.
-const FAILURES_PER_SECOND: u32 = 250;
-/// The time that a budget holds for.
+const MAX_SUCCESSES_PER_PERIOD: u32 = 200;
+const MAX_FAILURES_PER_PERIOD: u32 = 250;
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Whether a line tells of a success.
+/// The class of a log line, which selects its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogLineKind {
-    /// It does.
+    /// A line about a successful request.
     Success,
-    /// It tells of a failure.
+    /// A line about a failure.
     Failure,
 }
 
-/// Lines that were left out in a period.
+/// The number of lines suppressed in one period.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SuppressedLines {
-    /// About successes.
+    /// Suppressed lines about successes.
     pub successes: u32,
-    /// About failures.
+    /// Suppressed lines about failures.
     pub failures: u32,
 }
 
-/// The budget of one process.
+/// A fixed-window rate limiter for the log lines of one process.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
     since: Timestamp,
@@ -38,26 +35,27 @@
 }
 
 impl LogRateLimiter {
-    /// Whether a line may be written now; and what the period that just ended left out.
+    /// Returns whether a line may be written now. At the first line of a new period, also returns
+    /// the number of lines suppressed in the previous one, if any.
     pub fn allow(&mut self, now: Timestamp, kind: LogLineKind) -> (bool, Option<SuppressedLines>) {
-        let left_out = self.begin_period(now);
-        let (used, most) = match kind {
-            LogLineKind::Success => (&mut self.successes, SUCCESSES_PER_SECOND),
-            LogLineKind::Failure => (&mut self.failures, FAILURES_PER_SECOND),
+        let suppressed = self.start_period(now);
+        let (used, max) = match kind {
+            LogLineKind::Success => (&mut self.successes, MAX_SUCCESSES_PER_PERIOD),
+            LogLineKind::Failure => (&mut self.failures, MAX_FAILURES_PER_PERIOD),
         };
         *used += 1;
-        (*used <= most, left_out)
+        (*used <= max, suppressed)
     }
 
-    fn begin_period(&mut self, now: Timestamp) -> Option<SuppressedLines> {
+    fn start_period(&mut self, now: Timestamp) -> Option<SuppressedLines> {
         if now.since(self.since) < PERIOD {
             return None;
         }
-        let left_out = SuppressedLines {
-            successes: self.successes.saturating_sub(SUCCESSES_PER_SECOND),
-            failures: self.failures.saturating_sub(FAILURES_PER_SECOND),
+        let suppressed = SuppressedLines {
+            successes: self.successes.saturating_sub(MAX_SUCCESSES_PER_PERIOD),
+            failures: self.failures.saturating_sub(MAX_FAILURES_PER_PERIOD),
         };
         *self = Self { since: now, successes: 0, failures: 0 };
-        (left_out.successes + left_out.failures > 0).then_some(left_out)
+        (suppressed.successes + suppressed.failures > 0).then_some(suppressed)
     }
 }
--- a/crates/router/src/native_dialect.rs
+++ b/crates/router/src/native_dialect.rs
@@ -1,4 +1,5 @@
-//! The product's own dialect: what its callers and back ends speak where no platform prescribes another.
+//! The router's native protocol, which uses `mastbay-*` headers. It applies where no platform
+//! prescribes another one.
 
 use crate::dialect::{
     AnswerKind, BackEndDialect, BackEndNotice, CallerDialect, CallerHead, MalformedRequest,
@@ -9,35 +10,36 @@
 use mastbay_routing::{Prompt, PromptPart};
 use std::time::Duration;
 
-/// Names a request.
+/// The caller's ID of a request, also in the answer.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("mastbay-request-id");
-/// Milliseconds that the caller waits.
+/// Time that the caller waits for the answer, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("mastbay-deadline-ms");
-/// Parts of a prompt in order, as ID:TOKENS joined by commas; IDs are hexadecimal.
+/// The parts of a prompt in order, as a comma-separated list of `ID:TOKENS` with hexadecimal IDs.
 pub const PARTS: HeaderName = HeaderName::from_static("mastbay-prompt-parts");
-/// Tokens of a prompt and the most that come out, as IN,OUT.
+/// The number of prompt tokens and the maximum number of output tokens, as `IN,OUT`.
 pub const TOKENS: HeaderName = HeaderName::from_static("mastbay-tokens");
-/// The last event that the caller has.
+/// The number of the last event that the caller received.
 pub const LAST_EVENT: HeaderName = HeaderName::from_static("mastbay-last-event");
-/// The tenant, told to back ends.
+/// The tenant's name, sent to back ends only.
 pub const TENANT: HeaderName = HeaderName::from_static("mastbay-tenant");
-/// The back end that a request is meant for.
+/// The name of the back end that a request is addressed to.
 pub const BACK_END: HeaderName = HeaderName::from_static("mastbay-back-end");
-/// What became of a request.
+/// Whether a request ran: [`NOT_RUN`], [`UNKNOWN`] or [`REPLACED`]. Absent if it ran.
 pub const OUTCOME: HeaderName = HeaderName::from_static("mastbay-outcome");
-/// `1` in the answers of a back end that ends soon.
+/// `1` in the answers of a back end that is shutting down.
 pub const DRAINING: HeaderName = HeaderName::from_static("mastbay-draining");
 
-/// The outcome of a request that did not run.
+/// The outcome of a request that was rejected without running.
 pub const NOT_RUN: &str = "not-run";
 /// The outcome of a request that may have run.
 pub const UNKNOWN: &str = "unknown";
-/// The outcome of a request that another life of a back end was meant for.
+/// The outcome of a request that was addressed to another incarnation of the back end and did not
+/// run.
 pub const REPLACED: &str = "not-run-replaced";
 
 const BEARER: &str = "Bearer ";
 
-/// The product's own dialect.
+/// The native protocol, for callers and back ends.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NativeDialect;
 
@@ -72,8 +74,8 @@
             _ => NOT_RUN,
         };
         set(&mut headers, OUTCOME, outcome);
-        if let OwnAnswer::NotRun { retry_after: Some(pause) } = answer {
-            set(&mut headers, RETRY_AFTER, &pause.as_secs_f64().ceil().to_string());
+        if let OwnAnswer::NotRun { retry_after: Some(delay) } = answer {
+            set(&mut headers, RETRY_AFTER, &delay.as_secs_f64().ceil().to_string());
         }
         headers
     }
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -1,71 +1,71 @@
-//! How a request ended.
+//! How a request ended, for logs and metrics.
 
 use derive_more::Display;
 use mastbay_routing::BackEndId;
 
-/// How a request ended.
+/// The kinds of outcomes. The displayed names are label values of metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
 pub enum OutcomeKind {
-    /// With a whole answer of a back end.
+    /// A back end's complete answer was sent to the caller.
     #[display("answered")]
     Answered,
-    /// With a whole stream.
+    /// A back end's complete stream was sent to the caller.
     #[display("streamed")]
     Streamed,
-    /// With a stream that broke off.
+    /// The stream was aborted before its end.
     #[display("broken_off")]
     BrokenOff,
-    /// With an answer of the router's own.
+    /// The router answered the request itself.
     #[display("given_up")]
     GivenUp,
-    /// Its caller went away.
+    /// The caller disconnected first.
     #[display("caller_gone")]
     CallerGone,
 }
 
-/// How a request ended, with what is known of it.
+/// The outcome of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
     /// The kind.
     pub kind: OutcomeKind,
-    /// The status that the caller was told, 0 if none.
+    /// The status code sent to the caller, 0 if none was sent.
     pub status: u16,
-    /// Why, if it did not end well.
+    /// The reason of a failure, empty otherwise.
     pub reason: &'static str,
-    /// The back end that it ended at.
+    /// The back end that the answer came from, if any.
     pub back_end: Option<BackEndId>,
-    /// Events passed on.
+    /// The number of events relayed to the caller.
     pub events: u64,
 }
 
 impl Outcome {
-    /// An outcome of which only the kind is known.
+    /// Creates an outcome without further details.
     pub fn new(kind: OutcomeKind) -> Self {
         Self { kind, status: 0, reason: "", back_end: None, events: 0 }
     }
 
-    /// Whether its caller got what it asked for.
+    /// Returns whether the caller got a complete answer with a status below 500.
     pub fn is_success(&self) -> bool {
         matches!(self.kind, OutcomeKind::Answered | OutcomeKind::Streamed) && self.status < 500
     }
 
-    /// With the status told to the caller.
-    pub fn status(self, status: u16) -> Self {
+    /// Sets the status code sent to the caller.
+    pub fn with_status(self, status: u16) -> Self {
         Self { status, ..self }
     }
 
-    /// With the reason.
-    pub fn because(self, reason: &'static str) -> Self {
+    /// Sets the reason of the failure.
+    pub fn with_reason(self, reason: &'static str) -> Self {
         Self { reason, ..self }
     }
 
-    /// With the back end.
-    pub fn at(self, back_end: &BackEndId) -> Self {
+    /// Sets the back end.
+    pub fn with_back_end(self, back_end: &BackEndId) -> Self {
         Self { back_end: Some(back_end.clone()), ..self }
     }
 
-    /// With the number of events.
-    pub fn events(self, events: u64) -> Self {
+    /// Sets the number of events relayed.
+    pub fn with_events(self, events: u64) -> Self {
         Self { events, ..self }
     }
 }
--- a/crates/router/src/own_answers.rs
+++ b/crates/router/src/own_answers.rs
@@ -1,4 +1,4 @@
-//! How a request ends: the router's own answers, and what log and metrics are told.
+//! Answers that the router generates itself, and the recording of outcomes in log and metrics.
 
 use crate::call::Call;
 use crate::dialect::OwnAnswer;
@@ -9,7 +9,7 @@
 use crate::router::Router;
 use hyper::Response;
 
-/// The bytes of an answer of the router's own, after which the connection ends.
+/// Serializes an own answer with `connection: close`, for connections that are not served by hyper.
 pub fn own_answer_bytes(router: &Router, request_id: Option<&str>, answer: OwnAnswer) -> Vec<u8> {
     let body = format!("{answer}\n");
     let mut bytes = format!("HTTP/1.1 {}\r\n", answer.status()).into_bytes();
@@ -21,7 +21,7 @@
     bytes
 }
 
-/// An answer of the router's own.
+/// Builds an own answer.
 pub fn own_answer(
     router: &Router,
     request_id: Option<&str>,
@@ -33,8 +33,8 @@
     response
 }
 
-/// Tells log and metrics how a request ended.
-pub fn note_end(router: &Router, call: &Call, outcome: &Outcome) {
+/// Records the outcome of a request in the metrics and, within the rate limit, in the log.
+pub fn record_end(router: &Router, call: &Call, outcome: &Outcome) {
     let now = router.now();
     router.metrics.on_end(call, outcome, now);
     let kind = if outcome.is_success() { LogLineKind::Success } else { LogLineKind::Failure };
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -1,7 +1,8 @@
-//! Connections to back ends: one exchange at a time, kept while clean, bounded over the fleet.
+//! A pool of HTTP/1.1 connections to back ends, with one exchange at a time on each. A connection
+//! is reused only after a complete exchange. The number of connections per back end is limited.
 
 use crate::runtime::Runtime;
-use crate::throttled_reader::{Paced, ReadPace};
+use crate::throttled_reader::{ReadInterval, ThrottledReader};
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use http_body_util::Full;
@@ -21,45 +22,45 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time for a connection to come up.
-const CONNECT_LIMIT: Duration = Duration::from_millis(350);
-/// Time that a connection is kept where the back end tells none.
-const DEFAULT_KEEP: Duration = Duration::from_millis(4_000);
-/// Part of the time told by the back end for which a connection is kept.
-const KEEP_PART: f64 = 0.6;
-/// Read buffer of a connection, in bytes; the least that the HTTP library takes.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
+/// Idle timeout of connections whose back end sends no `Keep-Alive` timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Fraction of a back end's `Keep-Alive` timeout after which an idle connection is closed, to avoid
+/// a race with its close on the other side.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
+/// Read buffer of a connection, in bytes; the minimum that hyper accepts.
 const READ_BUFFER: usize = 8 << 10;
 
-/// A connection could not be had; nothing was sent.
+/// Why no connection is available. Nothing was sent.
 #[derive(Debug, Display, Error)]
 pub enum PoolError {
-    /// The back end cannot be reached.
+    /// Connecting failed.
     #[display("unreachable")]
     Unreachable,
-    /// No connection came up in time.
+    /// Connecting timed out.
     #[display("connect_timeout")]
     TimedOut,
-    /// This router has as many connections there as it may.
+    /// This router's limit of connections to the back end is reached.
     #[display("connection_limit")]
     Exhausted,
 }
 
-/// An exchange gave no answer.
+/// An exchange that failed before the head of an answer.
 #[derive(Debug, Display, Error)]
 #[display("{}", if *written { "broke_after_send" } else { "broke_before_send" })]
 pub struct ExchangeError {
-    /// Whether any byte of the request may have left.
+    /// Whether any byte of the request may have been sent.
     pub written: bool,
 }
 
-/// An open connection. Dropping it closes it at once.
+/// An open connection. Dropping it closes it immediately.
 pub struct BackEndConnection {
     sender: SendRequest<Full<Bytes>>,
     written: WriteCount,
-    pace: ReadPace,
-    keep: Duration,
+    interval: ReadInterval,
+    idle_timeout: Duration,
     _driver: smol::Task<()>,
-    _counted: OpenCount,
+    _open: OpenGuard,
 }
 
 impl BackEndConnection {
@@ -67,7 +68,7 @@
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the answer.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -77,20 +78,20 @@
         answer.map_err(|_| ExchangeError { written: self.written.get() > before })
     }
 
-    /// Reads what comes at intervals from now on, or as it comes.
-    pub fn set_pace(&self, interval: Option<Duration>) {
-        self.pace.set(interval);
+    /// Sets the interval between reads. With `None`, bytes are read as they arrive.
+    pub fn set_read_interval(&self, interval: Option<Duration>) {
+        self.interval.set(interval);
     }
 
-    /// Takes over what the back end tells about how long it keeps the connection.
-    pub fn note_headers(&mut self, headers: &HeaderMap) {
-        if let Some(kept) = keep_alive_timeout(headers) {
-            self.keep = kept.mul_f64(KEEP_PART);
+    /// Adjusts the idle timeout to the `Keep-Alive` header of an answer.
+    pub fn apply_keep_alive(&mut self, headers: &HeaderMap) {
+        if let Some(timeout) = keep_alive_timeout(headers) {
+            self.idle_timeout = timeout.mul_f64(KEEP_ALIVE_FRACTION);
         }
     }
 }
 
-/// The time in a `Keep-Alive: timeout=N` header.
+/// Parses a `Keep-Alive: timeout=N` header.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let parameters = value.split(',').map(str::trim);
@@ -100,38 +101,40 @@
 
 struct Idle {
     connection: BackEndConnection,
-    until: Timestamp,
+    expires: Timestamp,
 }
 
 #[derive(Default)]
 struct BackEndConnections {
     idle: Vec<Idle>,
-    most_resting: u32,
+    max_idle: u32,
     open: Rc<Cell<u32>>,
 }
 
-struct OpenCount(Rc<Cell<u32>>);
+/// Counts one open connection until it is dropped.
+struct OpenGuard(Rc<Cell<u32>>);
 
-impl Drop for OpenCount {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-/// Connections to all back ends.
+/// The connections to all back ends.
 pub struct Pool {
     runtime: Runtime,
     back_ends: RefCell<HashMap<BackEndId, BackEndConnections>>,
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(runtime: Runtime) -> Self {
         Self { runtime, back_ends: RefCell::default() }
     }
 
-    /// A connection that is ready for an exchange: the one used last, or a new one.
-    pub async fn take(
+    /// Returns a connection that is ready for an exchange: the most recently used idle one, or a
+    /// new one.
+    pub async fn acquire(
         &self,
         back_end: &BackEnd,
         bounds: ConnectionBounds,
@@ -139,40 +142,45 @@
         if let Some(connection) = self.take_idle(&back_end.id) {
             return Ok(connection);
         }
-        let counted = self.count_open(&back_end.id, bounds)?;
-        self.open(back_end, counted).await
+        let open = self.register_open(&back_end.id, bounds)?;
+        self.connect(back_end, open).await
     }
 
-    /// Whether an address refuses connections: nothing listens there. One that is silent or out of reach does not.
-    pub async fn is_refused(&self, address: SocketAddr) -> bool {
-        let connected = self.runtime.within(CONNECT_LIMIT, TcpStream::connect(address)).await;
+    /// Returns whether connecting to `address` fails with "connection refused". Timeouts and
+    /// unreachable networks do not count.
+    pub async fn refuses_connections(&self, address: SocketAddr) -> bool {
+        let connected = self.runtime.within(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
     }
 
-    /// Keeps a connection whose exchange ended cleanly, unless as many rest there as may.
-    pub fn keep(&self, id: &BackEndId, connection: BackEndConnection) {
-        connection.set_pace(None);
+    /// Returns a connection after a complete exchange. It is closed if the limit of idle ones is
+    /// reached.
+    pub fn release(&self, id: &BackEndId, connection: BackEndConnection) {
+        connection.set_read_interval(None);
         let mut back_ends = self.back_ends.borrow_mut();
         let connections = back_ends.get_mut(id);
-        let with_room = connections.filter(|kept| kept.idle.len() < kept.most_resting as usize);
-        if let Some(connections) = with_room {
-            let until = self.runtime.now() + connection.keep;
-            connections.idle.push(Idle { connection, until });
+        let with_capacity = connections
+            .filter(|connections| connections.idle.len() < connections.max_idle as usize);
+        if let Some(connections) = with_capacity {
+            let expires = self.runtime.now() + connection.idle_timeout;
+            connections.idle.push(Idle { connection, expires });
         }
     }
 
-    /// Closes connections that have rested for too long.
+    /// Closes idle connections that have expired or that the back end has closed.
     pub fn sweep(&self) {
         let now = self.runtime.now();
         for connections in self.back_ends.borrow_mut().values_mut() {
-            connections.idle.retain(|idle| idle.until > now && !idle.connection.sender.is_closed());
+            connections
+                .idle
+                .retain(|idle| idle.expires > now && !idle.connection.sender.is_closed());
         }
     }
 
-    /// Closes idle connections to back ends that are no longer listed.
-    pub fn remove(&self, gone: &[BackEndId]) {
+    /// Removes back ends and closes their idle connections.
+    pub fn remove(&self, removed: &[BackEndId]) {
         let mut back_ends = self.back_ends.borrow_mut();
-        gone.iter().for_each(|id| {
+        removed.iter().for_each(|id| {
             back_ends.remove(id);
         });
     }
@@ -182,46 +190,64 @@
         let mut back_ends = self.back_ends.borrow_mut();
         let idle = &mut back_ends.get_mut(id)?.idle;
         while let Some(candidate) = idle.pop() {
-            if candidate.until > now && candidate.connection.is_ready() {
+            if candidate.expires > now && candidate.connection.is_ready() {
                 return Some(candidate.connection);
             }
         }
         None
     }
 
-    fn count_open(&self, id: &BackEndId, bounds: ConnectionBounds) -> Result<OpenCount, PoolError> {
+    /// Counts a connection as open unless the limit is reached.
+    fn register_open(
+        &self,
+        id: &BackEndId,
+        bounds: ConnectionBounds,
+    ) -> Result<OpenGuard, PoolError> {
         let mut back_ends = self.back_ends.borrow_mut();
         let connections = back_ends.entry(id.clone()).or_default();
-        connections.most_resting = bounds.idle;
+        connections.max_idle = bounds.idle;
         let open = &connections.open;
         if open.get() >= bounds.open {
             return Err(PoolError::Exhausted);
         }
         open.set(open.get() + 1);
-        Ok(OpenCount(open.clone()))
+        Ok(OpenGuard(open.clone()))
     }
 
-    async fn open(
+    async fn connect(
         &self,
         back_end: &BackEnd,
-        counted: OpenCount,
+        open: OpenGuard,
     ) -> Result<BackEndConnection, PoolError> {
         let connected =
-            self.runtime.within(CONNECT_LIMIT, TcpStream::connect(back_end.address)).await;
+            self.runtime.within(CONNECT_TIMEOUT, TcpStream::connect(back_end.address)).await;
         let stream = connected.map_err(|_| PoolError::TimedOut)?;
         let stream = stream.map_err(|_| PoolError::Unreachable)?;
-        // A stream that refuses the option still works.
+        // The connection works without the option.
         let _ = stream.set_nodelay(true);
         let written = WriteCount::default();
-        let pace = ReadPace::default();
-        let paced = Paced::new(Counted::new(stream, written.clone()), self.runtime, pace.clone());
+        let interval = ReadInterval::default();
+        let throttled = ThrottledReader::new(
+            Counted::new(stream, written.clone()),
+            self.runtime,
+            interval.clone(),
+        );
         let mut builder = Builder::new();
         builder.max_buf_size(READ_BUFFER);
-        let (sender, driver) =
-            builder.handshake(FuturesIo::new(paced)).await.map_err(|_| PoolError::Unreachable)?;
-        // The driver's own error shows in the exchange that it ends.
+        let (sender, driver) = builder
+            .handshake(FuturesIo::new(throttled))
+            .await
+            .map_err(|_| PoolError::Unreachable)?;
+        // An error of the driver also fails the exchange.
         let driver = self.runtime.spawn(async move { driver.await.unwrap_or_default() });
-        let keep = DEFAULT_KEEP;
-        Ok(BackEndConnection { sender, written, pace, keep, _driver: driver, _counted: counted })
+        let idle_timeout = DEFAULT_IDLE_TIMEOUT;
+        Ok(BackEndConnection {
+            sender,
+            written,
+            interval,
+            idle_timeout,
+            _driver: driver,
+            _open: open,
+        })
     }
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,15 +1,16 @@
-//! A stream on its way to its caller: whole events only, taken up at another back end if that is allowed.
+//! Relays an event stream to its caller. Only complete events are relayed, so that a broken stream
+//! can be resumed from another back end if its route allows that.
 
-use crate::body_budget::{BodyReservation, NO_MEMORY, SMALL_ANSWER};
+use crate::body_budget::{BodyReservation, MAX_UNRESERVED_ANSWER, NO_MEMORY};
 use crate::broken_connections;
 use crate::call::Call;
 use crate::headers::is_delimited;
 use crate::outcome::{Outcome, OutcomeKind};
-use crate::own_answers::note_end;
+use crate::own_answers::record_end;
 use crate::pool::BackEndConnection;
 use crate::quarantine;
 use crate::router::Router;
-use crate::send::{Sender, Try};
+use crate::send::{RequestSender, SendOutcome};
 use crate::ticket::Ticket;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -25,50 +26,49 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Largest event, in bytes.
-const LARGEST_EVENT: usize = 1 << 20;
-/// Times that a large event is in memory: as it comes in, with room for its rest, whole, and as it goes out. With 300 callers that did
-/// not read events of 64 KB the process grew by 267 KB for each.
-const COPIES_OF_EVENT: u64 = 4;
-/// Silence after which a stream that may be resumed is taken up elsewhere.
-const SILENCE: Duration = Duration::from_millis(1_000);
-/// Times that one stream is taken up elsewhere.
-const MOST_RESUMES: u32 = 2;
-
-/// Cuts a stream at the ends of its events.
+/// Maximum size of an event, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
+/// Copies of a large event in memory: in the read buffer, in the splitter, as a complete event, and
+/// in hyper's write buffer.
+const EVENT_COPIES: u64 = 4;
+/// Time without data after which a resumable stream is resumed from another back end.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum number of times that a stream is resumed.
+const MAX_RESUMES: u32 = 2;
+
+/// Splits a byte stream after complete events, which end with an empty line.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes bytes and gives the events that they complete.
-    pub fn take(&mut self, bytes: &[u8]) -> Option<Bytes> {
+    /// Appends bytes and returns all complete events in one buffer, if there are any.
+    pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.partial.extend_from_slice(bytes);
         let end = end_of_last_event(&self.partial)?;
         Some(self.partial.split_to(end).freeze())
     }
 
-    /// Bytes held.
-    fn held(&self) -> usize {
+    fn buffered_bytes(&self) -> usize {
         self.partial.len()
     }
 
-    /// Whether the beginning of an event is held whose end has not come.
+    /// Returns whether an incomplete event is buffered.
     pub fn is_inside_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    fn is_overfull(&self) -> bool {
-        self.partial.len() > LARGEST_EVENT
+    fn exceeds_limit(&self) -> bool {
+        self.partial.len() > MAX_EVENT_BYTES
     }
 
-    fn reset(&mut self) {
+    fn clear(&mut self) {
         self.partial.clear();
     }
 }
 
-/// One event after the other of a run of whole events.
+/// Iterates over the single events in a buffer of complete events.
 pub fn events_of(bytes: &Bytes) -> impl Iterator<Item = Bytes> {
     let mut rest = bytes.clone();
     std::iter::from_fn(move || {
@@ -89,53 +89,54 @@
     feeds.into_iter().chain(returns).max()
 }
 
-/// A stream under way.
+/// A stream that is being relayed.
 pub struct Relay {
     router: Rc<Router>,
     call: Rc<Call>,
     attempt: Rc<RefCell<Attempt>>,
-    source: Option<Source>,
+    source: Option<StreamSource>,
     splitter: EventSplitter,
     last_event: Option<u64>,
     events: u64,
-    last_passed_on: Timestamp,
+    last_relayed: Timestamp,
     resumes: u32,
     tried: Vec<BackEndId>,
-    /// Memory taken for a large event.
-    large_event: Option<BodyReservation>,
-    noted: bool,
+    /// Memory reserved for large events.
+    event_reservation: Option<BodyReservation>,
+    is_recorded: bool,
 }
 
-/// The back end that a stream comes from.
-pub struct Source {
-    /// The room taken there.
+/// The back end that a stream is read from.
+pub struct StreamSource {
+    /// The ticket for the slot at the back end.
     pub ticket: Ticket,
-    /// The back end.
+    /// The back end's ID.
     pub back_end: BackEndId,
-    /// The connection to it.
+    /// The connection, which is reused after the end of the stream.
     pub connection: BackEndConnection,
-    /// The rest of its answer.
+    /// The body of the answer.
     pub body: Incoming,
-    /// Whether its answer tells its own end.
+    /// Whether the end of the body is marked, so that a truncated stream is detected.
     pub is_delimited: bool,
 }
 
-/// What came next from the back end.
-enum Next {
+/// The result of one read from the back end.
+enum SourceRead {
     Bytes(Bytes),
     End,
     Broken(&'static str),
-    Silent,
-    OutOfTime,
+    IdleTimeout,
+    DeadlineExceeded,
 }
 
 impl Relay {
-    /// A stream whose head has come from `source`, after the back ends in `tried` were given up.
+    /// Creates a relay for a stream whose head was received from `source`. The back ends in `tried`
+    /// are excluded when the stream is resumed.
     pub fn new(
         router: &Rc<Router>,
         call: &Rc<Call>,
         attempt: &Rc<RefCell<Attempt>>,
-        source: Source,
+        source: StreamSource,
         tried: Vec<BackEndId>,
     ) -> Self {
         Self {
@@ -146,82 +147,83 @@
             splitter: EventSplitter::default(),
             last_event: call.head.last_event,
             events: 0,
-            last_passed_on: router.now(),
+            last_relayed: router.now(),
             resumes: 0,
             tried,
-            large_event: None,
-            noted: false,
+            event_reservation: None,
+            is_recorded: false,
         }
     }
 
-    /// The next events for the caller; nothing after the stream's proper end.
+    /// Returns the next complete events for the caller, and `None` after the regular end of the
+    /// stream.
     async fn next(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
         loop {
-            let broken = match self.read().await {
-                Next::Bytes(bytes) => match self.take(&bytes) {
+            let failure = match self.read().await {
+                SourceRead::Bytes(bytes) => match self.process(&bytes) {
                     Ok(Some(events)) => return Some(Ok(Frame::data(events))),
                     Ok(None) => continue,
                     Err(reason) => reason,
                 },
-                Next::End if !self.splitter.is_inside_event() => {
+                SourceRead::End if !self.splitter.is_inside_event() => {
                     self.finish();
                     return None;
                 }
-                Next::End => {
-                    self.note_broken();
+                SourceRead::End => {
+                    self.record_broken_connection();
                     "ended_inside_event"
                 }
-                Next::Silent if !self.may_resume() => continue,
-                Next::Silent => "silent",
-                Next::Broken(reason) => {
-                    self.note_broken();
+                SourceRead::IdleTimeout if !self.may_resume() => continue,
+                SourceRead::IdleTimeout => "silent",
+                SourceRead::Broken(reason) => {
+                    self.record_broken_connection();
                     reason
                 }
-                Next::OutOfTime => return self.break_off("out_of_time"),
+                SourceRead::DeadlineExceeded => return self.abort("out_of_time"),
             };
-            if broken == NO_MEMORY || !self.resume(broken).await {
-                return self.break_off(broken);
+            if failure == NO_MEMORY || !self.resume(failure).await {
+                return self.abort(failure);
             }
         }
     }
 
-    async fn read(&mut self) -> Next {
+    async fn read(&mut self) -> SourceRead {
         let left = self.call.time_left(self.router.now());
         if left.is_zero() {
-            return Next::OutOfTime;
+            return SourceRead::DeadlineExceeded;
         }
-        let Some(source) = &mut self.source else { return Next::Broken("no_source") };
-        match self.router.runtime.within(left.min(SILENCE), source.body.frame()).await {
-            Ok(Some(Ok(frame))) => Next::Bytes(frame.into_data().unwrap_or_default()),
-            Ok(Some(Err(_))) => Next::Broken("broke_off"),
-            Ok(None) => Next::End,
-            Err(_) if left <= SILENCE => Next::OutOfTime,
-            Err(_) => Next::Silent,
+        let Some(source) = &mut self.source else { return SourceRead::Broken("no_source") };
+        match self.router.runtime.within(left.min(IDLE_TIMEOUT), source.body.frame()).await {
+            Ok(Some(Ok(frame))) => SourceRead::Bytes(frame.into_data().unwrap_or_default()),
+            Ok(Some(Err(_))) => SourceRead::Broken("broke_off"),
+            Ok(None) => SourceRead::End,
+            Err(_) if left <= IDLE_TIMEOUT => SourceRead::DeadlineExceeded,
+            Err(_) => SourceRead::IdleTimeout,
         }
     }
 
-    /// The whole events that bytes complete, without those that the caller already has.
-    fn take(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, &'static str> {
-        let whole = self.splitter.take(bytes);
-        if self.splitter.is_overfull() {
+    /// Returns the events that `bytes` complete, without those that the caller already received.
+    fn process(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, &'static str> {
+        let complete = self.splitter.push(bytes);
+        if self.splitter.exceeds_limit() {
             return Err("event_too_large");
         }
-        if !self.has_memory(whole.as_ref().map_or(0, Bytes::len)) {
+        if !self.reserve_memory(complete.as_ref().map_or(0, Bytes::len)) {
             return Err(NO_MEMORY);
         }
-        let Some(whole) = whole else { return Ok(None) };
+        let Some(complete) = complete else { return Ok(None) };
         if let Some(source) = &self.source {
             source.ticket.on_first_event();
-            source.connection.set_pace(self.router.batching_interval());
+            source.connection.set_read_interval(self.router.batching_interval());
         }
-        self.note_pause();
+        self.record_pause();
         if self.events == 0 {
-            self.call.note_first_event(self.router.now());
+            self.call.record_first_event(self.router.now());
             self.router.metrics.on_first_event(&self.call, self.router.now());
         }
         let mut arrived = 0;
-        let mut passed_on = BytesMut::with_capacity(whole.len());
-        for event in events_of(&whole) {
+        let mut relayed = BytesMut::with_capacity(complete.len());
+        for event in events_of(&complete) {
             arrived += 1;
             let number = self.router.dialects.back_ends.event_number(&event);
             if number.is_some() && number <= self.last_event {
@@ -229,42 +231,43 @@
             }
             self.last_event = number.or(self.last_event);
             self.events += 1;
-            passed_on.extend_from_slice(&event);
+            relayed.extend_from_slice(&event);
         }
         if let Some(source) = &self.source {
             source.ticket.on_events(arrived);
         }
-        Ok((!passed_on.is_empty()).then(|| passed_on.freeze()))
+        Ok((!relayed.is_empty()).then(|| relayed.freeze()))
     }
 
-    /// Whether what is held for the caller fits into the memory for it: `whole` bytes on their way, and the beginning of an event. What
-    /// was taken stays taken until the stream ends: earlier events may wait in the connection for their caller.
-    fn has_memory(&mut self, whole: usize) -> bool {
-        let held = (whole + self.splitter.held()) as u64;
-        let needed = held * COPIES_OF_EVENT;
-        let taken = self.large_event.as_ref().map_or(0, BodyReservation::bytes);
-        if held <= SMALL_ANSWER || needed <= taken {
+    /// Reserves memory for `complete` bytes of events and the buffered part of the next one, if
+    /// they are large. Returns whether there is enough. The reservation is kept until the stream
+    /// ends, since earlier events may still be in the connection's write buffer.
+    fn reserve_memory(&mut self, complete: usize) -> bool {
+        let held = (complete + self.splitter.buffered_bytes()) as u64;
+        let needed = held * EVENT_COPIES;
+        let reserved = self.event_reservation.as_ref().map_or(0, BodyReservation::bytes);
+        if held <= MAX_UNRESERVED_ANSWER || needed <= reserved {
             return true;
         }
-        self.large_event = None;
-        self.large_event = self.router.bodies.try_reserve(Some(needed));
-        self.large_event.is_some()
+        self.event_reservation = None;
+        self.event_reservation = self.router.bodies.try_reserve(Some(needed));
+        self.event_reservation.is_some()
     }
 
-    fn note_broken(&self) {
+    fn record_broken_connection(&self) {
         if let Some(source) = &self.source {
-            broken_connections::note(&self.router, &self.call, &source.back_end);
+            broken_connections::record(&self.router, &self.call, &source.back_end);
         }
     }
 
-    fn note_pause(&mut self) {
+    fn record_pause(&mut self) {
         let now = self.router.now();
-        let pause = now.since(self.last_passed_on);
+        let pause = now.since(self.last_relayed);
         if self.events > 0 {
             let mut trace = self.call.trace.borrow_mut();
             trace.longest_pause = trace.longest_pause.max(pause);
         }
-        self.last_passed_on = now;
+        self.last_relayed = now;
     }
 
     fn finish(&mut self) {
@@ -274,18 +277,18 @@
             if source.is_delimited {
                 quarantine::on_served(&self.router, &self.call);
             }
-            self.router.pool.keep(&source.back_end, source.connection);
-            self.note(OutcomeKind::Streamed, None, Some(&source.back_end));
+            self.router.pool.release(&source.back_end, source.connection);
+            self.record_outcome(OutcomeKind::Streamed, None, Some(&source.back_end));
         }
     }
 
-    fn break_off(&mut self, reason: &'static str) -> Option<Result<Frame<Bytes>, BodyError>> {
+    fn abort(&mut self, reason: &'static str) -> Option<Result<Frame<Bytes>, BodyError>> {
         let source = self.source.take();
         let back_end = source.as_ref().map(|source| source.back_end.clone());
         if let Some(source) = source {
             source.ticket.fail(Fault::Broken);
         }
-        self.note(OutcomeKind::BrokenOff, Some(reason), back_end.as_ref());
+        self.record_outcome(OutcomeKind::BrokenOff, Some(reason), back_end.as_ref());
         Some(Err(BodyError))
     }
 
@@ -293,12 +296,12 @@
         let mut as_lost = self.attempt.borrow().clone();
         as_lost.on_lost();
         self.call.entry.route.resumable
-            && self.resumes < MOST_RESUMES
+            && self.resumes < MAX_RESUMES
             && as_lost.may_send()
             && self.router.has_retries(&self.call.service)
     }
 
-    /// Takes the stream up at another back end.
+    /// Resumes the stream from another back end. Returns whether that succeeded.
     async fn resume(&mut self, reason: &'static str) -> bool {
         let may_resume = self.may_resume();
         self.attempt.borrow_mut().on_lost();
@@ -306,7 +309,7 @@
             source.ticket.fail(Fault::Broken);
             self.tried.push(source.back_end);
         }
-        self.splitter.reset();
+        self.splitter.clear();
         if !may_resume {
             return false;
         }
@@ -324,7 +327,7 @@
         self.source.is_some()
     }
 
-    async fn next_source(&mut self) -> Option<Source> {
+    async fn next_source(&mut self) -> Option<StreamSource> {
         let mut demand = self.call.demand();
         demand.tried = self.tried.clone();
         demand.arrived = self.router.now();
@@ -335,56 +338,63 @@
         if !self.router.take_retry(&self.call.service) {
             return None;
         }
-        self.call.note_placement(&placement, self.router.now());
-        let sender = Sender { router: &self.router, call: &self.call, attempt: &self.attempt };
+        self.call.record_placement(&placement, self.router.now());
+        let sender =
+            RequestSender { router: &self.router, call: &self.call, attempt: &self.attempt };
         match sender.send(&placement, self.last_event, false).await {
-            Try::Answered(head, body, connection) if head.status == StatusCode::OK => {
+            SendOutcome::Answered(head, body, connection) if head.status == StatusCode::OK => {
                 self.attempt.borrow_mut().on_answer();
                 let back_end = placement.back_end.id;
                 let is_delimited = is_delimited(&head.headers);
                 let connection = *connection;
-                Some(Source { ticket, back_end, connection, body, is_delimited })
+                Some(StreamSource { ticket, back_end, connection, body, is_delimited })
             }
-            Try::Answered(..) => {
+            SendOutcome::Answered(..) => {
                 ticket.fail(Fault::Failure);
                 None
             }
-            Try::NotSent(fault) | Try::NotRun(fault) | Try::Lost(fault) => {
+            SendOutcome::NotSent(fault) | SendOutcome::NotRun(fault) | SendOutcome::Lost(fault) => {
                 ticket.fail(fault);
                 None
             }
         }
     }
 
-    fn note(&mut self, kind: OutcomeKind, reason: Option<&'static str>, at: Option<&BackEndId>) {
-        self.noted = true;
-        let mut outcome = Outcome::new(kind).status(StatusCode::OK.as_u16()).events(self.events);
+    fn record_outcome(
+        &mut self,
+        kind: OutcomeKind,
+        reason: Option<&'static str>,
+        back_end: Option<&BackEndId>,
+    ) {
+        self.is_recorded = true;
+        let mut outcome =
+            Outcome::new(kind).with_status(StatusCode::OK.as_u16()).with_events(self.events);
         if let Some(reason) = reason {
-            outcome = outcome.because(reason);
+            outcome = outcome.with_reason(reason);
         }
-        if let Some(id) = at {
-            outcome = outcome.at(id);
+        if let Some(id) = back_end {
+            outcome = outcome.with_back_end(id);
         }
-        note_end(&self.router, &self.call, &outcome);
+        record_end(&self.router, &self.call, &outcome);
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        if !self.noted {
-            let at = self.source.as_ref().map(|source| source.back_end.clone());
-            self.note(OutcomeKind::CallerGone, None, at.as_ref());
+        if !self.is_recorded {
+            let back_end = self.source.as_ref().map(|source| source.back_end.clone());
+            self.record_outcome(OutcomeKind::CallerGone, None, back_end.as_ref());
         }
     }
 }
 
-/// The body of a stream's answer. Dropped, it closes the connection to the back end.
+/// The body of a stream's answer. Dropping it before the end closes the connection to the back end.
 pub struct StreamBody {
     frames: Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, BodyError>>>>,
 }
 
 impl StreamBody {
-    /// The body that a relay fills.
+    /// Creates a body from a relay's events.
     pub fn new(relay: Relay) -> Self {
         let frames = smol::stream::unfold(Some(relay), |relay| async move {
             let mut relay = relay?;
--- a/crates/router/src/request_head.rs
+++ b/crates/router/src/request_head.rs
@@ -1,15 +1,16 @@
-//! The head of a request from bytes of a connection that is not served here.
+//! Parsing of request heads on connections that are forwarded to another router.
 
 use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Uri};
 
-/// Header lines that are read.
-const MOST_HEADERS: usize = 64;
+/// A head with more header lines is not parsed.
+const MAX_HEADERS: usize = 64;
 
-/// The head of the request that `bytes` begin with, if it is whole and well formed.
+/// Parses the request head at the beginning of `bytes`. Returns `None` if it is incomplete or
+/// malformed.
 pub fn parse_head(bytes: &[u8]) -> Option<Parts> {
-    let mut lines = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut lines);
     if !parsed.parse(bytes).ok()?.is_complete() {
         return None;
@@ -30,7 +31,7 @@
     Some(headers)
 }
 
-/// The host that a head names, empty if none.
+/// Returns the value of the `Host` header, or an empty string if it is absent or not text.
 pub fn host(head: &Parts) -> &str {
     head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default()
 }
--- a/crates/router/src/retry_after.rs
+++ b/crates/router/src/retry_after.rs
@@ -1,39 +1,41 @@
-//! The `Retry-After` header of a back end's answer.
+//! Parsing of the `Retry-After` header in back ends' answers.
 //!
-//! Only seconds are read, fractions too. A date would hang on two clocks that need not agree.
+//! Only a number of seconds is accepted, with or without a fraction. A date would depend on the
+//! clocks of two machines.
 
 use derive_more::{Display, Error};
 use hyper::header::{HeaderMap, RETRY_AFTER};
 use hyper::{StatusCode, http};
 use std::time::Duration;
 
-/// Longest time that is followed; a back end that wants more says so again.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(3_600);
+/// Longer times are reduced to this one; the back end can repeat the header.
+const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
 
-/// What an answer says about when the next request may come.
+/// The content of the `Retry-After` header of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RetryAfter {
-    /// Nothing.
+    /// There is no such header, or it does not apply to the status.
     #[default]
     Absent,
-    /// After this time.
+    /// The time until the next request may be sent, one hour at most.
     After(Duration),
-    /// Something that can't be followed.
+    /// The header has no valid value.
     Malformed(RetryAfterError),
 }
 
-/// A `Retry-After` that can't be followed.
+/// Why the value of a `Retry-After` header is not valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum RetryAfterError {
-    /// It is no number of seconds.
+    /// The value is not a number.
     #[display("not_a_number")]
     NotANumber,
-    /// It is negative or not finite.
+    /// The value is negative or not finite.
     #[display("out_of_range")]
     OutOfRange,
 }
 
-/// Reads the header of a refusal. In other answers it says nothing about when the next request may come.
+/// Reads the header of an answer with status 429 or 503. With any other status the header does not
+/// limit further requests, and the result is [`RetryAfter::Absent`].
 pub fn retry_after_of(head: &http::response::Parts) -> RetryAfter {
     match head.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
@@ -43,7 +45,8 @@
     }
 }
 
-/// Reads the header. Of several values the longest time counts, and one that can be followed before those that can't.
+/// Reads the header, whatever the status. Of several values, the longest valid one is returned; an
+/// error only if none is valid.
 pub fn read_retry_after(headers: &HeaderMap) -> RetryAfter {
     let mut read = RetryAfter::Absent;
     for value in headers.get_all(RETRY_AFTER) {
@@ -63,5 +66,5 @@
     if !seconds.is_finite() || seconds < 0.0 {
         return Err(RetryAfterError::OutOfRange);
     }
-    Ok(Duration::from_secs_f64(seconds.min(LONGEST_BACKOFF.as_secs_f64())))
+    Ok(Duration::from_secs_f64(seconds.min(MAX_BACKOFF.as_secs_f64())))
 }
--- a/crates/router/src/send.rs
+++ b/crates/router/src/send.rs
@@ -1,10 +1,10 @@
-//! One try at one back end: connection, request, head of the answer.
+//! Sends a request to one back end and waits for the head of the answer.
 
 use crate::back_end_notices;
 use crate::broken_connections;
 use crate::call::Call;
 use crate::dialect::{AnswerKind, OutgoingCall};
-use crate::headers::keep_end_to_end;
+use crate::headers::remove_hop_by_hop;
 use crate::pool::{BackEndConnection, ExchangeError, PoolError};
 use crate::router::Router;
 use bytes::Bytes;
@@ -18,72 +18,77 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Silence of a back end after which a request that may run again goes to another, in objectives.
-const SILENCE_OBJECTIVES: f64 = 2.0;
-/// Least such silence.
-const LEAST_SILENCE: Duration = Duration::from_millis(600);
+/// Time without an answer after which a request that may be retried goes to another back end, as a
+/// multiple of the route's objective. The predicted time to the first event is added.
+const SILENCE_TIMEOUT_OBJECTIVES: f64 = 2.0;
+/// Lower bound of that time, without the predicted time.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How one try at one back end ended.
-pub enum Try {
-    /// With the head of an answer.
+/// The outcome of sending a request to one back end.
+pub enum SendOutcome {
+    /// The head of an answer, its body and the connection.
     Answered(http::response::Parts, Incoming, Box<BackEndConnection>),
     /// Nothing was sent.
     NotSent(Fault),
-    /// The back end says that it did not run the request.
+    /// The back end answered that it did not run the request.
     NotRun(Fault),
-    /// Sent, outcome unknown.
+    /// The request was sent and its outcome is unknown.
     Lost(Fault),
 }
 
 /// Sends a request to one back end.
-pub struct Sender<'a> {
+pub struct RequestSender<'a> {
     /// The router.
     pub router: &'a Rc<Router>,
     /// The request.
     pub call: &'a Call,
-    /// Its life so far.
+    /// The state of the request's attempts, updated while sending.
     pub attempt: &'a RefCell<Attempt>,
 }
 
-impl Sender<'_> {
-    /// Sends the request and waits for the head of its answer.
+impl RequestSender<'_> {
+    /// Sends the request and waits for the head of the answer. `last_event` is the number of the
+    /// last event that the caller received. If the connection fails before any byte was written,
+    /// the outcome is [`SendOutcome::NotSent`] with `detect_unwritten`, and [`SendOutcome::Lost`]
+    /// otherwise.
     pub async fn send(
         &self,
         placement: &Placement,
         last_event: Option<u64>,
-        may_be_unsent: bool,
-    ) -> Try {
+        detect_unwritten: bool,
+    ) -> SendOutcome {
         let back_end = &placement.back_end;
-        let taken = self.router.pool.take(back_end, self.connection_bounds(back_end)).await;
-        let mut connection = match taken {
+        let acquired = self.router.pool.acquire(back_end, self.connection_bounds(back_end)).await;
+        let mut connection = match acquired {
             Ok(connection) => connection,
-            Err(PoolError::Exhausted) => return Try::NotSent(Fault::Full),
-            Err(_) => return Try::NotSent(Fault::Unreachable),
+            Err(PoolError::Exhausted) => return SendOutcome::NotSent(Fault::Full),
+            Err(_) => return SendOutcome::NotSent(Fault::Unreachable),
         };
         let now = self.router.now();
         if let Some(fault) = self.router.dispatcher.borrow().fault_before_send(now, &back_end.id) {
-            return Try::NotSent(fault);
+            return SendOutcome::NotSent(fault);
         }
         let Some(request) = self.request(placement, last_event) else {
-            return Try::NotSent(Fault::Broken);
+            return SendOutcome::NotSent(Fault::Broken);
         };
         self.attempt.borrow_mut().on_send();
         let answered = self.wait_for_head(&mut connection, request, placement).await;
         match answered {
             Some(Ok(answer)) => self.read_head(answer, connection, back_end),
-            Some(Err(error)) if !error.written && may_be_unsent => {
+            Some(Err(error)) if !error.written && detect_unwritten => {
                 self.attempt.borrow_mut().on_nothing_written();
-                Try::NotSent(Fault::Full)
+                SendOutcome::NotSent(Fault::Full)
             }
             Some(Err(_)) => {
-                broken_connections::note(self.router, self.call, &back_end.id);
-                Try::Lost(Fault::Broken)
+                broken_connections::record(self.router, self.call, &back_end.id);
+                SendOutcome::Lost(Fault::Broken)
             }
-            None => Try::Lost(Fault::Broken),
+            None => SendOutcome::Lost(Fault::Broken),
         }
     }
 
-    /// The head of the answer; nothing if the back end is silent and another may be tried.
+    /// Waits for the head of the answer. Returns `None` if there is none within the silence timeout
+    /// and another back end may be tried.
     async fn wait_for_head(
         &self,
         connection: &mut BackEndConnection,
@@ -91,20 +96,25 @@
         placement: &Placement,
     ) -> Option<Result<Response<Incoming>, ExchangeError>> {
         let mut exchange = pin!(connection.exchange(request));
-        let silence =
-            self.call.entry.route.objective.mul_f64(SILENCE_OBJECTIVES).max(LEAST_SILENCE);
+        let silence = self
+            .call
+            .entry
+            .route
+            .objective
+            .mul_f64(SILENCE_TIMEOUT_OBJECTIVES)
+            .max(MIN_SILENCE_TIMEOUT);
         if let Ok(answered) =
             self.router.runtime.within(silence + placement.predicted, exchange.as_mut()).await
         {
             return Some(answered);
         }
-        if self.may_give_up_on_silence() {
+        if self.may_retry_if_lost() {
             return None;
         }
         Some(exchange.await)
     }
 
-    fn may_give_up_on_silence(&self) -> bool {
+    fn may_retry_if_lost(&self) -> bool {
         let mut as_lost = self.attempt.borrow().clone();
         as_lost.on_lost();
         as_lost.may_send() && self.router.has_retries(&self.call.service)
@@ -115,15 +125,15 @@
         answer: Response<Incoming>,
         mut connection: BackEndConnection,
         back_end: &BackEnd,
-    ) -> Try {
+    ) -> SendOutcome {
         let (head, body) = answer.into_parts();
-        connection.note_headers(&head.headers);
-        back_end_notices::take(self.router, self.call, &back_end.id, &head);
+        connection.apply_keep_alive(&head.headers);
+        back_end_notices::apply(self.router, self.call, &back_end.id, &head);
         match self.router.dialects.back_ends.classify(&self.call.head.request_id, &head) {
-            AnswerKind::Answer => Try::Answered(head, body, Box::new(connection)),
-            AnswerKind::NotRunFull => Try::NotRun(Fault::Full),
-            AnswerKind::NotRunReplaced => Try::NotRun(Fault::Replaced),
-            AnswerKind::Foreign => Try::Lost(Fault::Broken),
+            AnswerKind::Answer => SendOutcome::Answered(head, body, Box::new(connection)),
+            AnswerKind::NotRunFull => SendOutcome::NotRun(Fault::Full),
+            AnswerKind::NotRunReplaced => SendOutcome::NotRun(Fault::Replaced),
+            AnswerKind::Foreign => SendOutcome::Lost(Fault::Broken),
         }
     }
 
@@ -140,7 +150,7 @@
             last_event,
         };
         let mut headers = self.router.dialects.back_ends.outgoing(&call.headers, &outgoing);
-        keep_end_to_end(&mut headers);
+        remove_hop_by_hop(&mut headers);
         if let Some(host) = call.headers.get(HOST) {
             headers.insert(HOST, host.clone());
         }
@@ -152,15 +162,15 @@
         Some(request)
     }
 
-    /// The bounds on this router's connections to a back end of the service.
+    /// Returns the limits of this router's connections to a back end.
     fn connection_bounds(&self, back_end: &BackEnd) -> ConnectionBounds {
         let table = self.router.table();
         let service = table.as_ref().and_then(|table| table.service(&self.call.service));
-        let most = service.map_or(DEFAULT_MOST_CONNECTIONS, |service| service.max_connections);
+        let max = service.map_or(DEFAULT_MAX_CONNECTIONS, |service| service.max_connections);
         let routers = self.router.dispatcher.borrow().routers();
-        ConnectionBounds::new(most, back_end.slots, routers)
+        ConnectionBounds::new(max, back_end.slots, routers)
     }
 }
 
-/// Connections to one back end where its service tells no bound.
-const DEFAULT_MOST_CONNECTIONS: u32 = 256;
+/// Connections of the whole fleet to one back end while its service is not in the configuration.
+const DEFAULT_MAX_CONNECTIONS: u32 = 256;
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! A caller's request, from its head to its answer.
+//! Serves a request: reads its body, resolves the route, and runs the exchange with back ends.
 
 use crate::call::{Body, Call};
 use crate::dialect::{CallerHead, OwnAnswer};
@@ -20,55 +20,56 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When a caller may come back for whose body there is no memory.
-const NO_MEMORY_PAUSE: Duration = Duration::from_millis(500);
-/// Time that the body of a request may take.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Retry delay returned when there is no memory for a body.
+const NO_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Timeout for receiving the body of a request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How a request came here.
+/// How a request reached this router.
 #[derive(Debug, Clone)]
-pub enum Way {
-    /// From its caller.
+pub enum Ingress {
+    /// On a connection from its caller.
     Direct,
-    /// By a router that handed its connection on.
-    HandedOn {
-        /// That router.
+    /// On a connection that another router forwards.
+    Forwarded {
+        /// The address of that router.
         by: IpAddr,
-        /// The configuration that this router had in force when it took the connection, as the other one did.
+        /// The configuration in force when this router accepted the connection. Both routers use
+        /// the same version.
         table: Option<Rc<RouteTable>>,
     },
 }
 
-impl Way {
-    /// The router that handed the connection on, if any did.
-    fn handed_on_by(&self) -> Option<IpAddr> {
+impl Ingress {
+    /// Returns the router that forwarded the connection, if any.
+    fn forwarded_by(&self) -> Option<IpAddr> {
         match self {
             Self::Direct => None,
-            Self::HandedOn { by, .. } => Some(*by),
+            Self::Forwarded { by, .. } => Some(*by),
         }
     }
 
-    /// The configuration that decides.
+    /// Returns the configuration that applies to the request.
     fn table(&self, router: &Router) -> Option<Rc<RouteTable>> {
         match self {
             Self::Direct => router.table(),
-            Self::HandedOn { table, .. } => table.clone(),
+            Self::Forwarded { table, .. } => table.clone(),
         }
     }
 }
 
-/// Serves one request.
+/// Serves one request. All failures are returned as answers of the router's own.
 pub async fn serve_request(
     router: Rc<Router>,
-    way: Way,
+    ingress: Ingress,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let arrival = Arrival { at: router.now(), earliest: router.earliest_arrival(), way };
+    let arrival = Arrival { at: router.now(), earliest: router.earliest_arrival(), ingress };
     router.wait_until_up_to_date().await;
     let (parts, body) = request.into_parts();
     let mut response = match accept(&router, arrival, parts, body).await {
         Ok(call) => Exchange::run(&router, Rc::new(call)).await,
-        Err(refused) => own_answer(&router, refused.request_id.as_deref(), refused.answer),
+        Err(rejection) => own_answer(&router, rejection.request_id.as_deref(), rejection.answer),
     };
     if router.ends_connections() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -76,64 +77,67 @@
     response
 }
 
-/// When a request came, and how.
+/// When and how a request arrived.
 #[derive(Debug, Clone)]
 struct Arrival {
-    /// When its head was read.
+    /// When the head was read.
     at: Timestamp,
-    /// When it came at the earliest: it may have lain unread.
+    /// The earliest time at which the request may have arrived: after a stall it may have been
+    /// waiting in the socket's buffer.
     earliest: Timestamp,
-    way: Way,
+    ingress: Ingress,
 }
 
-/// A request that is answered before it is routed.
-struct Refused {
+/// A request that is rejected before it is routed.
+struct Rejection {
     request_id: Option<String>,
     answer: OwnAnswer,
 }
 
+/// Reads the body and routes the request. Rejections are logged and counted.
 async fn accept(
     router: &Rc<Router>,
     arrival: Arrival,
     parts: http::request::Parts,
     body: Incoming,
-) -> Result<Call, Refused> {
-    let handed_on_by = arrival.way.handed_on_by();
-    let way = arrival.way.clone();
-    let refused = |request_id: Option<String>, answer| {
-        let version = way.table(router).map_or(0, |table| table.version());
+) -> Result<Call, Rejection> {
+    let forwarded_by = arrival.ingress.forwarded_by();
+    let ingress = arrival.ingress.clone();
+    let reject = |request_id: Option<String>, answer| {
+        let version = ingress.table(router).map_or(0, |table| table.version());
         let versions = (version, router.versions().1);
-        events::request_turned_away(request_id.as_deref(), answer, versions, handed_on_by);
+        events::request_turned_away(request_id.as_deref(), answer, versions, forwarded_by);
         router.metrics.on_own_answer(answer);
-        Refused { request_id, answer }
+        Rejection { request_id, answer }
     };
     let head = router.dialects.callers.read(&parts);
-    let head = head.map_err(|_| refused(None, OwnAnswer::Malformed))?;
-    let table = arrival.way.table(router);
+    let head = head.map_err(|_| reject(None, OwnAnswer::Malformed))?;
+    let table = arrival.ingress.table(router);
     let limits = table.map(|table| table.configuration().limits).unwrap_or_default();
     let length = body.size_hint().exact();
     if length.is_some_and(|length| length > limits.body_bytes as u64) {
-        return Err(refused(Some(head.request_id), OwnAnswer::TooLarge));
+        return Err(reject(Some(head.request_id), OwnAnswer::TooLarge));
     }
-    let Some(share) = router.bodies.try_reserve(length) else {
-        let retry_after = Some(NO_MEMORY_PAUSE);
-        return Err(refused(Some(head.request_id), OwnAnswer::NotRun { retry_after }));
+    let Some(reservation) = router.bodies.try_reserve(length) else {
+        let retry_after = Some(NO_MEMORY_RETRY_AFTER);
+        return Err(reject(Some(head.request_id), OwnAnswer::NotRun { retry_after }));
     };
-    let read = router.runtime.within(BODY_TIME, read_limited(body, limits.body_bytes)).await;
+    let read = router.runtime.within(BODY_TIMEOUT, read_limited(body, limits.body_bytes)).await;
     let body = match read {
         Ok(Ok(body)) => body,
         Ok(Err(ReadBodyError::TooLarge { .. })) => {
-            return Err(refused(Some(head.request_id), OwnAnswer::TooLarge));
+            return Err(reject(Some(head.request_id), OwnAnswer::TooLarge));
         }
         Ok(Err(ReadBodyError::Broken)) | Err(_) => {
-            return Err(refused(Some(head.request_id), OwnAnswer::Malformed));
+            return Err(reject(Some(head.request_id), OwnAnswer::Malformed));
         }
     };
-    let routed = route(router, arrival, parts, head, Body { bytes: body, share });
-    routed.map_err(|(id, answer)| refused(Some(id), answer))
+    let routed = route(router, arrival, parts, head, Body { bytes: body, reservation });
+    routed.map_err(|(id, answer)| reject(Some(id), answer))
 }
 
-/// Finds the route and the tenant of a request in the configuration that decides now that it has come whole.
+/// Resolves the route and the tenant of a request. The configuration is looked up after the body
+/// was received, since it may have changed meanwhile.
 fn route(
     router: &Router,
     arrival: Arrival,
@@ -141,9 +145,9 @@
     head: CallerHead,
     body: Body,
 ) -> Result<Call, (String, OwnAnswer)> {
-    let unknown_yet = OwnAnswer::NotRun { retry_after: Some(UNCONFIGURED_PAUSE) };
-    let table = arrival.way.table(router);
-    let Some(table) = table else { return Err((head.request_id, unknown_yet)) };
+    let unconfigured = OwnAnswer::NotRun { retry_after: Some(UNCONFIGURED_RETRY_AFTER) };
+    let table = arrival.ingress.table(router);
+    let Some(table) = table else { return Err((head.request_id, unconfigured)) };
     let Some(entry) = table.route(host(&parts), parts.uri.path()) else {
         return Err((head.request_id, OwnAnswer::NoRoute));
     };
@@ -157,7 +161,7 @@
     };
     let priority = tenant.and_then(|tenant| tenant.priority).unwrap_or(entry.route.priority);
     let Some(service) = entry.service(rand::random()).map(str::to_owned) else {
-        return Err((head.request_id, unknown_yet));
+        return Err((head.request_id, unconfigured));
     };
     let deadline = arrival.earliest + time_allowed(&head, &entry.route);
     Ok(Call {
@@ -171,7 +175,7 @@
         service,
         priority,
         regions,
-        forwarded_by: arrival.way.handed_on_by(),
+        forwarded_by: arrival.ingress.forwarded_by(),
         arrived: arrival.at,
         deadline,
         trace: RefCell::default(),
@@ -179,10 +183,10 @@
     })
 }
 
-/// Time that a request may take: as long as its caller waits, and no longer than its route allows.
+/// Returns the time that a request may take: the route's timeout, or less if the caller waits less.
 pub fn time_allowed(head: &CallerHead, route: &Route) -> Duration {
     head.time_left.map_or(route.timeout, |left| left.min(route.timeout))
 }
 
-/// When a caller may come back to a router that knows no configuration yet.
-const UNCONFIGURED_PAUSE: Duration = Duration::from_millis(500);
+/// Retry delay returned while no configuration or no service of the route is known.
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
--- a/crates/router/src/throttled_reader.rs
+++ b/crates/router/src/throttled_reader.rs
@@ -1,7 +1,7 @@
-//! A stream that is read at intervals while the router is pressed.
+//! A stream wrapper that limits how often the stream is read.
 //!
-//! Reading each event as it arrives costs a wake-up and several system calls an event. Read at intervals,
-//! all that has arrived meanwhile is passed on together, which costs as much as a single event.
+//! Reading each event on arrival costs a wake-up and several system calls per event. Under load,
+//! events are read at intervals, so that those which arrived in between are relayed together.
 
 use crate::runtime::{Runtime, Sleep};
 use smol::io::{AsyncRead, AsyncWrite};
@@ -12,51 +12,51 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// The interval between two reads of a stream, set while it is read; without one, bytes are read as they
-/// come.
+/// A shared handle that sets the interval between two reads of a stream while it is in use. Without
+/// an interval, bytes are read as they arrive.
 #[derive(Debug, Clone, Default)]
-pub struct ReadPace(Rc<Cell<Option<Duration>>>);
+pub struct ReadInterval(Rc<Cell<Option<Duration>>>);
 
-impl ReadPace {
-    /// Sets the interval from the next read on.
+impl ReadInterval {
+    /// Sets the interval, which applies after the next read.
     pub fn set(&self, interval: Option<Duration>) {
         self.0.set(interval);
     }
 }
 
-/// Wraps a stream and reads it at a pace.
+/// A stream whose reads are separated by a [`ReadInterval`]. Writes are not delayed.
 #[derive(Debug)]
-pub struct Paced<S> {
+pub struct ThrottledReader<S> {
     stream: S,
     runtime: Runtime,
-    pace: ReadPace,
-    pause: Option<Sleep>,
+    interval: ReadInterval,
+    delay: Option<Sleep>,
 }
 
-impl<S> Paced<S> {
-    /// Reads `stream` at `pace`.
-    pub fn new(stream: S, runtime: Runtime, pace: ReadPace) -> Self {
-        Self { stream, runtime, pace, pause: None }
+impl<S> ThrottledReader<S> {
+    /// Wraps `stream`.
+    pub fn new(stream: S, runtime: Runtime, interval: ReadInterval) -> Self {
+        Self { stream, runtime, interval, delay: None }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Paced<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for ThrottledReader<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<Result<usize>> {
-        if let Some(pause) = &mut self.pause {
-            ready!(Pin::new(pause).poll(context));
-            self.pause = None;
+        if let Some(delay) = &mut self.delay {
+            ready!(Pin::new(delay).poll(context));
+            self.delay = None;
         }
         let read = ready!(Pin::new(&mut self.stream).poll_read(context, buffer));
-        self.pause = self.pace.0.get().map(|interval| self.runtime.sleep(interval));
+        self.delay = self.interval.0.get().map(|interval| self.runtime.sleep(interval));
         Poll::Ready(read)
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Paced<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for ThrottledReader<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/router/src/ticket.rs
+++ b/crates/router/src/ticket.rs
@@ -1,11 +1,12 @@
-//! A request's claim on a back end, given back however the request ends.
+//! RAII guards for a request's admission by the dispatcher.
 
 use crate::router::Router;
 use mastbay_routing::{Admission, Demand, Fault, Placement, Refusal, TicketId};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Room taken at a back end, or a place among those that wait. Dropped, it is given back.
+/// A slot at a back end, or a place in the queue of waiting requests. Dropping the ticket releases
+/// it and reports the outcome to the dispatcher.
 pub struct Ticket {
     router: Rc<Router>,
     id: TicketId,
@@ -13,7 +14,8 @@
 }
 
 impl Ticket {
-    /// Asks for a back end and waits for it if there is none with room.
+    /// Requests a back end from the dispatcher, and waits if none has capacity. A future that is
+    /// dropped while it waits leaves the queue.
     pub async fn obtain(
         router: &Rc<Router>,
         demand: Demand,
@@ -25,11 +27,11 @@
             Admission::Placed(placement) => Ok((Ticket::new(router, placement.ticket), placement)),
             Admission::Waiting(id) => {
                 let ticket = Ticket::new(router, id);
-                let (sender, verdict) = smol::channel::bounded(1);
+                let (sender, result) = smol::channel::bounded(1);
                 router.waiting.borrow_mut().insert(id, sender);
-                // The sender is kept until the verdict is sent.
-                let verdict = verdict.recv().await.map_err(|_| Refusal::stopping())?;
-                verdict.map(|placement| (ticket, placement))
+                // The sender stays in `waiting` until it has sent the result.
+                let result = result.recv().await.map_err(|_| Refusal::stopping())?;
+                result.map(|placement| (ticket, placement))
             }
         }
     }
@@ -38,24 +40,25 @@
         Self { router: router.clone(), id, outcome: Cell::new(Err(None)) }
     }
 
-    /// The first event or the whole answer has come.
+    /// Reports that the first event or the complete answer was received.
     pub fn on_first_event(&self) {
         let now = self.router.now();
         self.router.dispatcher.borrow_mut().on_first_event(now, self.id);
     }
 
-    /// `count` events of the request's stream have come.
+    /// Reports that `count` events of the request's stream were received.
     pub fn on_events(&self, count: u32) {
         let now = self.router.now();
         self.router.dispatcher.borrow_mut().on_events(now, self.id, count);
     }
 
-    /// The request ended well.
+    /// Marks the exchange as successful. One that is not marked counts neither as success nor as
+    /// fault.
     pub fn succeed(&self) {
         self.outcome.set(Ok(()));
     }
 
-    /// The exchange with the back end went wrong.
+    /// Marks the exchange with the back end as failed.
     pub fn fail(&self, fault: Fault) {
         self.outcome.set(Err(Some(fault)));
     }
@@ -65,8 +68,9 @@
     fn drop(&mut self) {
         let now = self.router.now();
         self.router.waiting.borrow_mut().remove(&self.id);
-        let has_room = self.router.dispatcher.borrow_mut().on_end(now, self.id, self.outcome.get());
-        if has_room {
+        let has_capacity =
+            self.router.dispatcher.borrow_mut().on_end(now, self.id, self.outcome.get());
+        if has_capacity {
             self.router.poll_waiting();
         }
     }
--- a/crates/router/src/write_timeout.rs
+++ b/crates/router/src/write_timeout.rs
@@ -1,7 +1,7 @@
-//! Ends connections whose callers do not read what they asked for.
+//! A stream wrapper that fails writes which make no progress for too long.
 //!
-//! What a caller does not read is held here and at its back end: a place, memory and a connection. A caller that reads slowly keeps all
-//! of these as long as some of its bytes leave; one that reads nothing for some seconds gives them up.
+//! An answer that its caller does not read occupies memory here, and a slot and a connection at its
+//! back end. Slow readers are served as long as some bytes are written within each timeout.
 
 use crate::runtime::{Runtime, Sleep};
 use smol::io::{AsyncRead, AsyncWrite};
@@ -12,46 +12,47 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Time for which no byte of an answer leaves until its connection ends: longer than a network heals from a lost packet, and shorter
-/// than callers wait for a stream.
+/// Time without any byte written after which a write fails. It is longer than retransmissions after
+/// packet loss take, and shorter than callers wait for a stream.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Wraps a connection of a caller.
-pub struct UnreadGuard<S> {
+/// A stream whose writes fail with [`ErrorKind::TimedOut`] after [`WRITE_TIMEOUT`] without
+/// progress.
+pub struct WriteTimeoutStream<S> {
     stream: S,
     runtime: Runtime,
-    blocked: Option<Sleep>,
-    on_unread: Rc<dyn Fn()>,
+    deadline: Option<Sleep>,
+    on_timeout: Rc<dyn Fn()>,
 }
 
-impl<S> UnreadGuard<S> {
-    /// Ends writes to `stream` that wait for too long, and calls `on_unread` then.
-    pub fn new(stream: S, runtime: Runtime, on_unread: Rc<dyn Fn()>) -> Self {
-        Self { stream, runtime, blocked: None, on_unread }
+impl<S> WriteTimeoutStream<S> {
+    /// Wraps `stream`. `on_timeout` is called when a write times out.
+    pub fn new(stream: S, runtime: Runtime, on_timeout: Rc<dyn Fn()>) -> Self {
+        Self { stream, runtime, deadline: None, on_timeout }
     }
 
-    /// What becomes of a write that its stream polled.
-    fn bound(
+    /// Applies the timeout to the result of polling a write.
+    fn apply_timeout(
         &mut self,
         context: &mut Context<'_>,
         written: Poll<Result<usize>>,
     ) -> Poll<Result<usize>> {
         if written.is_ready() {
-            self.blocked = None;
+            self.deadline = None;
             return written;
         }
         let runtime = self.runtime;
-        let blocked = self.blocked.get_or_insert_with(|| runtime.sleep(WRITE_TIMEOUT));
-        if Pin::new(blocked).poll(context).is_pending() {
+        let deadline = self.deadline.get_or_insert_with(|| runtime.sleep(WRITE_TIMEOUT));
+        if Pin::new(deadline).poll(context).is_pending() {
             return Poll::Pending;
         }
-        self.blocked = None;
-        (self.on_unread)();
+        self.deadline = None;
+        (self.on_timeout)();
         Poll::Ready(Err(Error::from(ErrorKind::TimedOut)))
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for UnreadGuard<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for WriteTimeoutStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -61,14 +62,14 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for UnreadGuard<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for WriteTimeoutStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, buffer);
-        self.bound(context, written)
+        self.apply_timeout(context, written)
     }
 
     fn poll_write_vectored(
@@ -77,11 +78,11 @@
         buffers: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
-        self.bound(context, written)
+        self.apply_timeout(context, written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
-        // A socket has nothing to flush: that it is done says nothing about the caller.
+        // Flushing a socket completes at once and shows nothing about the peer's progress.
         Pin::new(&mut self.stream).poll_flush(context)
     }
 
