--- a/crates/router/src/call.rs
+++ b/crates/router/src/call.rs
@@ -67,13 +67,13 @@
     /// Prompt tokens estimated not to be in the back end's cache.
     pub uncached: u64,
     /// Age of the oldest load statistics used for the placement.
-    pub age: Duration,
+    pub stats_age: Duration,
     /// Number of placements at back ends.
     pub sends: u32,
     /// Why it was refused, if it was and a back end was considered.
-    pub considered: Option<RefusalDetails>,
+    pub refusal_details: Option<RefusalDetails>,
     /// Back ends excluded from the last placement or refusal.
-    pub left_out: ExcludedBackEnds,
+    pub excluded: ExcludedBackEnds,
     /// The retry delay returned to the caller.
     pub retry_after: Option<Duration>,
 }
@@ -104,16 +104,16 @@
         trace.running = placement.running;
         trace.limit = placement.limit;
         trace.uncached = placement.uncached;
-        trace.age = placement.stats_age;
-        trace.left_out = placement.excluded;
+        trace.stats_age = placement.stats_age;
+        trace.excluded = placement.excluded;
         trace.sends += 1;
     }
 
     /// Records that the dispatcher refused the request.
     pub fn record_refusal(&self, refusal: &Refusal) {
         let mut trace = self.trace.borrow_mut();
-        trace.considered = refusal.details.clone();
-        trace.left_out = refusal.excluded;
+        trace.refusal_details = refusal.details.clone();
+        trace.excluded = refusal.excluded;
         trace.retry_after = Some(refusal.retry_after);
     }
 
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -21,7 +21,7 @@
 
 /// A request ended. What decided against it follows if it was refused.
 pub fn request_ended(call: &Call, outcome: &Outcome, now: Timestamp) {
-    match call.trace.borrow().considered.as_ref() {
+    match call.trace.borrow().refusal_details.as_ref() {
         Some(considered) => refused(call, outcome, considered, now),
         None => served_or_failed(call, outcome, now),
     }
@@ -53,9 +53,9 @@
         limit = trace.limit,
         prompt_tokens = prompt.map_or(0, |prompt| prompt.input_tokens),
         uncached = trace.uncached,
-        age_ms = milliseconds(trace.age),
-        draining = trace.left_out.draining,
-        backing_off = trace.left_out.backing_off,
+        age_ms = milliseconds(trace.stats_age),
+        draining = trace.excluded.draining,
+        backing_off = trace.excluded.backing_off,
         sends = trace.sends,
         fingerprint = call.fingerprint.get().map(|fingerprint| fingerprint.to_string()),
     );
@@ -87,8 +87,8 @@
         fair_level = considered.fair_level.map(|level| level as u64),
         prompt_tokens = prompt.map_or(0, |prompt| prompt.input_tokens),
         retry_after_ms = trace.retry_after.map_or(0, milliseconds),
-        draining = trace.left_out.draining,
-        backing_off = trace.left_out.backing_off,
+        draining = trace.excluded.draining,
+        backing_off = trace.excluded.backing_off,
         sends = trace.sends,
     );
 }
