--- a/crates/router/src/buffered_answer.rs
+++ b/crates/router/src/buffered_answer.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// Reads the body of an answer. If its length is known, waits for free memory without a timeout of
-/// its own; the caller bounds the wait.
+/// Reads the body of an answer. For a large one of known length, waits for free memory without a
+/// timeout; callers of this function have to bound the wait.
 ///
 /// # Errors
 /// If the body is incomplete, too large, or does not fit into the budget. A body of unknown length
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -77,14 +77,14 @@
 /// Limits and options of a listener's connections.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ListenerLimits {
-    /// Maximum number of open connections, counted over all listeners that share the
-    /// [`OpenConnections`]. Further ones are closed unread.
+    /// Maximum number of open connections, over all listeners that share one counter. Further ones
+    /// are closed unread.
     pub max_connections: usize,
     /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
     /// Maximum time between two requests, and for receiving a request's head.
     pub idle_timeout: Duration,
-    /// Fraction of new connections, 0 to 1, that are passed to the [`OverflowHandler`].
+    /// Fraction of new connections, 0 to 1, that are passed to the listener's overflow handler.
     pub overflow_fraction: f64,
     /// Age after which the next answer closes the connection, `None` for no limit.
     pub max_age: Option<Duration>,
--- a/crates/router/src/ticket.rs
+++ b/crates/router/src/ticket.rs
@@ -1,4 +1,4 @@
-//! RAII guards for a request's admission by the dispatcher.
+//! An RAII guard for a request that the dispatcher admitted.
 
 use crate::router::Router;
 use mastbay_routing::{Admission, Demand, Fault, Placement, Refusal, TicketId};
