--- a/crates/routing/src/announcements.rs
+++ b/crates/routing/src/announcements.rs
@@ -1,7 +1,7 @@
 //! Announcements of back ends in response headers: that they are draining, or that they want no
 //! requests for a while.
 //!
-//! An announcement applies to one incarnation and overrides what lists and peers say about it.
+//! An announcement applies to one incarnation and takes precedence over lists and peers.
 
 use crate::back_end::{BackEnd, BackEndId, BackEndState};
 use mastbay_types::Timestamp;
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -144,8 +144,8 @@
     }
 }
 
-/// Time after which the minimum event interval of a service is forgotten, and at least half of
-/// which it is kept: its engines may have got other software or weights meanwhile.
+/// Maximum age of the minimum event interval of a service, which is kept for at least half of this
+/// time. Older minima may be those of other software or weights.
 const UNLOADED_TTL: Duration = Duration::from_secs(240);
 
 /// Event interval of an unloaded engine of a service: the recent minimum over all its engines.
--- a/crates/routing/src/expired.rs
+++ b/crates/routing/src/expired.rs
@@ -69,15 +69,15 @@
 
     /// Removes and returns the back ends whose grace period is over.
     pub fn expire(&mut self, now: Timestamp) -> Vec<BackEndId> {
-        let gone: Vec<BackEndId> = self
+        let expired: Vec<BackEndId> = self
             .kept
             .values()
             .filter(|(_, until)| now >= *until)
             .map(|(id, _)| id.clone())
             .collect();
-        gone.iter().for_each(|id| {
+        expired.iter().for_each(|id| {
             self.kept.remove(&id.name);
         });
-        gone
+        expired
     }
 }
