--- a/crates/routing/src/dispatch/admission.rs
+++ b/crates/routing/src/dispatch/admission.rs
@@ -11,26 +11,26 @@
 use std::time::Duration;
 
 /// Waiters that fail to be placed before the rest of a queue is left for later.
-const MOST_FAILED_PLACEMENTS: usize = 64;
+const MAX_FAILED_PLACEMENTS: usize = 64;
 /// Longest time that a refused caller is told to stay away.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_millis(2_500);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(2_500);
 /// Time over which callers come back after a backoff, as a part of what was left of it.
-const RETURN_SPREAD: f64 = 0.25;
+const RETURN_SPREAD_FRACTION: f64 = 0.25;
 /// Least such time.
-const LEAST_SPREAD: Duration = Duration::from_millis(100);
+const MIN_RETURN_SPREAD: Duration = Duration::from_millis(100);
 /// Longest such time.
-const LONGEST_SPREAD: Duration = Duration::from_secs(1);
+const MAX_RETURN_SPREAD: Duration = Duration::from_secs(1);
 /// Callers follow the time to come back only up to this part of the time that they have left.
-const RETRY_AFTER_PART: f64 = 0.3;
+const RETRY_AFTER_FRACTION: f64 = 0.3;
 
 impl Dispatcher {
     /// Places a request now, lets it wait or refuses it. `draw` is uniform in 0..1.
     pub fn admit(&mut self, now: Timestamp, demand: Demand, draw: f64) -> Admission {
-        let others_wait = self.waiting.get(&demand.service).is_some_and(|queue| queue.len() > 0);
+        let has_waiters = self.waiting.get(&demand.service).is_some_and(|queue| queue.len() > 0);
         let ticket = TicketId(self.next_ticket);
         self.next_ticket += 1;
-        let privileged = !demand.tried.is_empty();
-        let placed = if !others_wait || privileged {
+        let is_retry = !demand.tried.is_empty();
+        let placed = if !has_waiters || is_retry {
             self.try_place(now, ticket, &demand, false)
         } else {
             None
@@ -39,18 +39,18 @@
             return Admission::Placed(placement);
         }
         // Held and then refused would be worse: without a back end no time makes room.
-        if let Some(reason) = self.unservable(now, &demand) {
+        if let Some(reason) = self.unservable_reason(now, &demand) {
             return Admission::Refused(self.refusal(now, &demand, reason, draw));
         }
-        if !privileged && self.share_class(now, &demand) == ShareClass::AboveShare {
+        if !is_retry && self.share_class(now, &demand) == ShareClass::AboveShare {
             return Admission::Refused(self.refusal(now, &demand, RefusalReason::OverShare, draw));
         }
         let waiting = self.waiting.get(&demand.service).map_or(0, WaitingQueue::len);
         if waiting >= self.limits.most_waiting {
             return Admission::Refused(self.refusal(now, &demand, RefusalReason::QueueFull, draw));
         }
-        self.note_unplaced(now, &demand);
-        let until = self.hold_until(&demand);
+        self.record_unplaced(now, &demand);
+        let until = self.wait_deadline(&demand);
         let queue = self.waiting.entry(demand.service.clone()).or_default();
         queue.push(Waiter { ticket, demand, until });
         Admission::Waiting(ticket)
@@ -58,14 +58,14 @@
 
     /// Lets waiters in where there is room and gives up those whose time is over.
     pub fn poll(&mut self, now: Timestamp, draw: f64) -> AdmissionResults {
-        let mut verdicts = Vec::new();
+        let mut results = Vec::new();
         let services: Vec<String> = self.waiting.keys().cloned().collect();
         for service in services {
-            self.let_in(now, &service, &mut verdicts);
-            self.give_up(now, &service, draw, &mut verdicts);
+            self.place_waiting(now, &service, &mut results);
+            self.expire_waiting(now, &service, draw, &mut results);
         }
         self.waiting.retain(|_, queue| queue.len() > 0);
-        verdicts
+        results
     }
 
     /// Whether any request waits.
@@ -73,50 +73,50 @@
         !self.waiting.is_empty()
     }
 
-    fn let_in(&mut self, now: Timestamp, service: &str, verdicts: &mut AdmissionResults) {
+    fn place_waiting(&mut self, now: Timestamp, service: &str, results: &mut AdmissionResults) {
         let shares = self.shares(now);
         let Some(queue) = self.waiting.get_mut(service) else { return };
-        let mut left = Vec::new();
+        let mut unplaced = Vec::new();
         let mut failed = 0;
         for waiter in queue.take_in_order(|waiter| shares.order(waiter)) {
-            let placed = if failed < MOST_FAILED_PLACEMENTS {
+            let placed = if failed < MAX_FAILED_PLACEMENTS {
                 self.try_place(now, waiter.ticket, &waiter.demand, false)
             } else {
                 None
             };
             match placed {
-                Some(placement) => verdicts.push((waiter.ticket, Ok(placement))),
+                Some(placement) => results.push((waiter.ticket, Ok(placement))),
                 None => {
                     failed += 1;
-                    left.push(waiter);
+                    unplaced.push(waiter);
                 }
             }
         }
         if let Some(queue) = self.waiting.get_mut(service) {
-            left.into_iter().for_each(|waiter| queue.push(waiter));
+            unplaced.into_iter().for_each(|waiter| queue.push(waiter));
         }
     }
 
-    fn give_up(
+    fn expire_waiting(
         &mut self,
         now: Timestamp,
         service: &str,
         draw: f64,
-        verdicts: &mut AdmissionResults,
+        results: &mut AdmissionResults,
     ) {
         let Some(queue) = self.waiting.get_mut(service) else { return };
         let expired = queue.take_expired(now);
         for waiter in expired {
-            let verdict = match self.try_place(now, waiter.ticket, &waiter.demand, true) {
+            let result = match self.try_place(now, waiter.ticket, &waiter.demand, true) {
                 Some(placement) => Ok(placement),
                 None => {
-                    self.note_missed(now, &waiter.demand);
-                    let reason = self.unservable(now, &waiter.demand);
+                    self.record_missed(now, &waiter.demand);
+                    let reason = self.unservable_reason(now, &waiter.demand);
                     let reason = reason.unwrap_or(RefusalReason::NoRoom);
                     Err(self.refusal(now, &waiter.demand, reason, draw))
                 }
             };
-            verdicts.push((waiter.ticket, verdict));
+            results.push((waiter.ticket, result));
         }
     }
 
@@ -127,11 +127,11 @@
         reason: RefusalReason,
         draw: f64,
     ) -> Refusal {
-        let left = demand.deadline.since(now).mul_f64(RETRY_AFTER_PART);
-        let usual = left.min(LONGEST_RETRY_AFTER).mul_f64(0.5 + 0.5 * draw);
-        let retry_after = self.until_backoff_ends(now, demand, draw).unwrap_or(usual);
+        let left = demand.deadline.since(now).mul_f64(RETRY_AFTER_FRACTION);
+        let default_delay = left.min(MAX_RETRY_AFTER).mul_f64(0.5 + 0.5 * draw);
+        let retry_after = self.until_backoff_ends(now, demand, draw).unwrap_or(default_delay);
         let excluded = self.excluded(now, &demand.service);
-        Refusal { reason, retry_after, details: self.consider(now, demand), excluded }
+        Refusal { reason, retry_after, details: self.refusal_details(now, demand), excluded }
     }
 
     /// Time until a back end that may serve a demand takes requests again, if all of them want none now: the first moment for callers to
@@ -142,33 +142,34 @@
         demand: &Demand,
         draw: f64,
     ) -> Option<Duration> {
-        let left = self.first_after_backoff(now, demand)?.since(now);
-        let spread = left.mul_f64(RETURN_SPREAD).clamp(LEAST_SPREAD, LONGEST_SPREAD);
+        let left = self.earliest_backoff_end(now, demand)?.since(now);
+        let spread =
+            left.mul_f64(RETURN_SPREAD_FRACTION).clamp(MIN_RETURN_SPREAD, MAX_RETURN_SPREAD);
         Some(left + spread.mul_f64(draw))
     }
 
-    fn consider(&mut self, now: Timestamp, demand: &Demand) -> Option<RefusalDetails> {
+    fn refusal_details(&mut self, now: Timestamp, demand: &Demand) -> Option<RefusalDetails> {
         let shares = self.shares(now);
         let tenant = demand.tenant.as_deref().unwrap_or_default();
         let rates_age = self.fleet.rates_age(now);
-        let weighed = self.first_choice(now, demand)?;
-        let engine = self.engines.get(&weighed.id)?;
+        let scored = self.first_choice(now, demand)?;
+        let engine = self.engines.get(&scored.id)?;
         let load = engine.load();
         Some(RefusalDetails {
-            back_end: weighed.id,
+            back_end: scored.id,
             running: load.running,
             limit: self.concurrency_limit(now, engine).round() as u32,
             pending_prefill: load.prefill.tokens,
-            predicted: weighed.predicted,
+            predicted: scored.predicted,
             asked: shares.asked(tenant),
             given: shares.given(tenant),
             rates_age,
-            fair_level: shares.level.is_finite().then_some(shares.level),
+            fair_level: shares.fair_level.is_finite().then_some(shares.fair_level),
         })
     }
 
     /// Why no time for which a request may wait would make room for it, if that is so.
-    fn unservable(&self, now: Timestamp, demand: &Demand) -> Option<RefusalReason> {
+    fn unservable_reason(&self, now: Timestamp, demand: &Demand) -> Option<RefusalReason> {
         if self.engines.ready(&demand.service).is_empty() {
             return Some(RefusalReason::NoBackEnd);
         }
@@ -176,8 +177,8 @@
         if !is_servable {
             return Some(RefusalReason::NoBackEndInRegion);
         }
-        let first = self.first_after_backoff(now, demand)?;
-        (first > self.hold_until(demand)).then_some(RefusalReason::BackingOff)
+        let first = self.earliest_backoff_end(now, demand)?;
+        (first > self.wait_deadline(demand)).then_some(RefusalReason::BackingOff)
     }
 
     /// The back ends that take work and may serve a demand where they are.
@@ -188,7 +189,7 @@
     }
 
     /// When the first back end that may serve a demand takes requests again, if all of them want none now.
-    fn first_after_backoff(&self, now: Timestamp, demand: &Demand) -> Option<Timestamp> {
+    fn earliest_backoff_end(&self, now: Timestamp, demand: &Demand) -> Option<Timestamp> {
         if self.backing_off(now) == 0 {
             return None;
         }
@@ -201,8 +202,8 @@
     }
 
     /// Until when a request waits: a part of its objective; one that was tried before, the whole.
-    fn hold_until(&self, demand: &Demand) -> Timestamp {
-        let part = if demand.tried.is_empty() { self.limits.policy.wait_fraction } else { 1.0 };
-        (demand.arrived + demand.objective.mul_f64(part)).min(demand.deadline)
+    fn wait_deadline(&self, demand: &Demand) -> Timestamp {
+        let fraction = if demand.tried.is_empty() { self.limits.policy.wait_fraction } else { 1.0 };
+        (demand.arrived + demand.objective.mul_f64(fraction)).min(demand.deadline)
     }
 }
--- a/crates/routing/src/dispatch/aggregation.rs
+++ b/crates/routing/src/dispatch/aggregation.rs
@@ -1,6 +1,6 @@
-//! Who adds up the figures of a large fleet.
+//! Who adds up the stats of a large fleet.
 //!
-//! In a small fleet each router sends its figures to all others (a mesh). What a router takes in then grows with
+//! In a small fleet each router sends its stats to all others (a mesh). What a router takes in then grows with
 //! the fleet, so in a large one each router reports to one aggregator of its zone. Aggregators send each other the
 //! sums over their members, and each sends its members the sums over the fleet: what a router takes in is constant.
 //! Everybody works out who aggregates from what it hears of the others, without an election: if views differ for a
@@ -12,12 +12,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Other routers up to which each sends its figures to all.
-pub const LARGEST_MESH: usize = 25;
+/// Other routers up to which each sends its stats to all.
+pub const MAX_MESH_PEERS: usize = 25;
 /// Members that one aggregator may have. At 12 reports a second from each this costs it about 2% of a core.
-const MOST_MEMBERS: usize = 64;
+const MAX_MEMBERS: usize = 64;
 
-/// How a router tells its figures.
+/// How a router tells its stats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Role {
     /// To all others.
@@ -25,7 +25,7 @@
     Mesh,
     /// To the aggregator at this address.
     Member(SocketAddr),
-    /// It adds up the figures of others.
+    /// It adds up the stats of others.
     Aggregator,
 }
 
@@ -96,7 +96,7 @@
             zones.entry(router.zone).or_default().push(router);
         }
         let chosen = zones.into_iter().map(|(zone, mut routers)| {
-            let count = routers.len().div_ceil(MOST_MEMBERS);
+            let count = routers.len().div_ceil(MAX_MEMBERS);
             routers.sort_by_key(Candidate::rank);
             (zone, routers.into_iter().take(count).map(|router| router.id).collect())
         });
--- a/crates/routing/src/dispatch/announced.rs
+++ b/crates/routing/src/dispatch/announced.rs
@@ -12,46 +12,46 @@
 use std::time::Duration;
 
 /// Back ends named in one message; each takes some 30 bytes.
-const MOST_PER_MESSAGE: usize = 128;
+const MAX_PER_MESSAGE: usize = 128;
 
 impl Dispatcher {
-    /// A back end said in an answer to this router that it ends soon. Gives whether that is new. The other routers are told.
+    /// A back end said in an answer to this router that it ends soon. Gives whether that is new. The other routers are announced.
     pub fn on_draining(&mut self, now: Timestamp, id: &BackEndId) -> bool {
-        self.take_draining(now, id, TRANSMISSIONS)
+        self.record_draining(now, id, TRANSMISSIONS)
     }
 
     /// Another router tells of a back end that said so. Gives whether that is new.
     pub fn on_draining_reported(&mut self, now: Timestamp, id: &BackEndId) -> bool {
-        let tellings = if self.relaying() == Relaying::All { TRANSMISSIONS } else { 0 };
-        self.take_draining(now, id, tellings)
+        let transmissions = if self.relaying() == Relaying::All { TRANSMISSIONS } else { 0 };
+        self.record_draining(now, id, transmissions)
     }
 
     /// What a router must know that has just come: the listed back ends that said that they end soon, as many as one message holds.
     pub fn draining_for_new_peer(&self) -> Option<PeerMessage> {
         let draining = self.announcements.draining();
         let listed = draining.filter(|id| self.engines.get(id).is_some());
-        let told: Vec<BackEndId> = listed.take(MOST_PER_MESSAGE).cloned().collect();
-        (!told.is_empty()).then_some(PeerMessage::Draining(told))
+        let announced: Vec<BackEndId> = listed.take(MAX_PER_MESSAGE).cloned().collect();
+        (!announced.is_empty()).then_some(PeerMessage::Draining(announced))
     }
 
     /// What this router tells others in one round of back ends that said that they end soon; as a rule nothing.
     pub(super) fn next_draining(&mut self, now: Timestamp) -> Option<Outgoing> {
-        let told = self.draining_news.next_round(MOST_PER_MESSAGE);
-        if told.is_empty() {
+        let announced = self.draining_queue.next_round(MAX_PER_MESSAGE);
+        if announced.is_empty() {
             return None;
         }
         let draw = mixed_hash(now.as_micros(), self.fleet.tiebreak());
         let targets = self.gossip_targets(draw);
-        Some(Outgoing { message: PeerMessage::Draining(told), targets })
+        Some(Outgoing { message: PeerMessage::Draining(announced), targets })
     }
 
-    fn take_draining(&mut self, now: Timestamp, id: &BackEndId, tellings: u32) -> bool {
+    fn record_draining(&mut self, now: Timestamp, id: &BackEndId, transmissions: u32) -> bool {
         let is_new = self.announcements.on_draining(now, id);
         if let Some(back_end) = self.back_end(id).filter(|_| is_new).cloned() {
             self.set_back_ends(now, &[back_end]);
         }
         if is_new {
-            self.draining_news.push(id.clone(), tellings);
+            self.draining_queue.push(id.clone(), transmissions);
         }
         is_new
     }
@@ -59,10 +59,10 @@
     /// Counts the listed back ends of each service that said that they end soon. Done when one says so or lists change, not for each
     /// request.
     pub(super) fn count_draining(&mut self) {
-        self.draining_listed.clear();
+        self.draining_counts.clear();
         for id in self.announcements.draining() {
             let Some(engine) = self.engines.get(id) else { continue };
-            *self.draining_listed.entry(engine.back_end.service.clone()).or_default() += 1;
+            *self.draining_counts.entry(engine.back_end.service.clone()).or_default() += 1;
         }
     }
 
@@ -72,7 +72,7 @@
         let engines = backing_off.filter_map(|id| self.engines.get(id));
         let of_service = engines.filter(|engine| engine.back_end.service == service);
         ExcludedBackEnds {
-            draining: self.draining_listed.get(service).copied().unwrap_or_default(),
+            draining: self.draining_counts.get(service).copied().unwrap_or_default(),
             backing_off: of_service.count() as u32,
         }
     }
--- a/crates/routing/src/dispatch/cold_engines.rs
+++ b/crates/routing/src/dispatch/cold_engines.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Time for which the list of cold engines at which this router holds a part of the allowance is used.
-const LIST_LIFE: Duration = Duration::from_millis(50);
+const HELD_COLD_TTL: Duration = Duration::from_millis(50);
 
 /// Cold engines at which this router holds a part of the allowance, at one moment.
 #[derive(Debug, Clone, Default)]
@@ -21,7 +21,7 @@
 impl Dispatcher {
     /// Whether an engine may get one more request of this router: it is warm, or this router holds a part of the
     /// allowance of a cold one and has not used it up.
-    pub(super) fn bears_more(&self, now: Timestamp, engine: &Engine) -> bool {
+    pub(super) fn accepts_more(&self, now: Timestamp, engine: &Engine) -> bool {
         if !engine.warmup.is_cold(now) {
             return true;
         }
@@ -39,7 +39,7 @@
         if !self.cold_rates.contains_key(service) {
             return Rc::default();
         }
-        if now.since(self.held_cold.listed) >= LIST_LIFE {
+        if now.since(self.held_cold.listed) >= HELD_COLD_TTL {
             let held = self.engines.all().filter(|engine| {
                 let holders = self.holders(engine).filter(|_| engine.warmup.is_cold(now));
                 holders.is_some_and(|holders| self.is_holder(now, engine, holders))
--- a/crates/routing/src/dispatch/engines.rs
+++ b/crates/routing/src/dispatch/engines.rs
@@ -28,27 +28,27 @@
     ids: HashMap<EngineKey, BackEndId>,
     /// Those that take work, by service, sorted by name.
     ready: HashMap<String, Vec<ReadyEngine>>,
-    /// Those with figures of this router's own to tell.
+    /// Those with stats of this router's own to tell.
     busy: BTreeSet<BackEndId>,
-    looked_at: Cell<u64>,
+    examined: Cell<u64>,
 }
 
 impl Engines {
     /// One of them.
     pub fn get(&self, id: &BackEndId) -> Option<&Engine> {
-        self.note_looks(1);
+        self.count_examined(1);
         self.all.get(id)
     }
 
     /// One of them, to change what is known of it; whether it takes work is changed by [`Self::set`] alone.
     pub fn get_mut(&mut self, id: &BackEndId) -> Option<&mut Engine> {
-        self.note_looks(1);
+        self.count_examined(1);
         self.all.get_mut(id)
     }
 
     /// The same, for something of this router's own that is to be told to others.
-    pub fn get_busy(&mut self, id: &BackEndId) -> Option<&mut Engine> {
-        self.note_looks(1);
+    pub fn get_mut_busy(&mut self, id: &BackEndId) -> Option<&mut Engine> {
+        self.count_examined(1);
         let engine = self.all.get_mut(id)?;
         if !self.busy.contains(id) {
             self.busy.insert(id.clone());
@@ -58,19 +58,19 @@
 
     /// One of them by its name in messages.
     pub fn by_key(&mut self, key: EngineKey) -> Option<&mut Engine> {
-        self.note_looks(1);
+        self.count_examined(1);
         self.all.get_mut(self.ids.get(&key)?)
     }
 
     /// All of them.
     pub fn all(&self) -> impl Iterator<Item = &Engine> {
-        self.note_looks(self.all.len());
+        self.count_examined(self.all.len());
         self.all.values()
     }
 
     /// The names of all of them.
     pub fn ids(&self) -> impl Iterator<Item = &BackEndId> {
-        self.note_looks(self.all.len());
+        self.count_examined(self.all.len());
         self.all.keys()
     }
 
@@ -79,16 +79,16 @@
         self.ready.get(service).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Those with figures of this router's own.
+    /// Those with stats of this router's own.
     pub fn busy(&self) -> impl Iterator<Item = &Engine> {
-        self.note_looks(self.busy.len());
+        self.count_examined(self.busy.len());
         self.busy.iter().filter_map(|id| self.all.get(id))
     }
 
-    /// Those have nothing more to tell for which `has_figures` is not so.
-    pub fn retain_busy(&mut self, has_figures: impl Fn(&Engine) -> bool) {
+    /// Those have nothing more to tell for which `has_stats` is not so.
+    pub fn retain_busy(&mut self, has_stats: impl Fn(&Engine) -> bool) {
         let all = &self.all;
-        self.busy.retain(|id| all.get(id).is_some_and(&has_figures));
+        self.busy.retain(|id| all.get(id).is_some_and(&has_stats));
     }
 
     /// Sets what is known of a back end. `complete` gets it as its source tells it now, if it was known, and gives all of it.
@@ -118,7 +118,7 @@
 
     /// Changes all of them, and whether they take work.
     pub fn change_all(&mut self, change: impl Fn(&mut Engine)) {
-        self.note_looks(self.all.len());
+        self.count_examined(self.all.len());
         self.ready.clear();
         self.all.values_mut().for_each(change);
         // In order of their names, so each is added at the end.
@@ -129,12 +129,12 @@
     }
 
     /// How many back ends were looked at until now. What a request or a round adds does not grow with their number.
-    pub fn looked_at(&self) -> u64 {
-        self.looked_at.get()
+    pub fn examined(&self) -> u64 {
+        self.examined.get()
     }
 
-    fn note_looks(&self, count: usize) {
-        self.looked_at.set(self.looked_at.get() + count as u64);
+    fn count_examined(&self, count: usize) {
+        self.examined.set(self.examined.get() + count as u64);
     }
 
     fn index(&mut self, engine: &Engine) {
@@ -143,16 +143,16 @@
             return;
         }
         let ready = self.ready.entry(engine.back_end.service.clone()).or_default();
-        let place = ready.binary_search_by(|one| one.id.cmp(&engine.back_end.id));
-        if let Err(place) = place {
-            ready.insert(place, ReadyEngine::of(engine));
+        let position = ready.binary_search_by(|ready| ready.id.cmp(&engine.back_end.id));
+        if let Err(index) = position {
+            ready.insert(index, ReadyEngine::of(engine));
         }
     }
 
     fn remove_ready(&mut self, engine: &Engine) {
         let Some(ready) = self.ready.get_mut(&engine.back_end.service) else { return };
-        if let Ok(place) = ready.binary_search_by(|one| one.id.cmp(&engine.back_end.id)) {
-            ready.remove(place);
+        if let Ok(index) = ready.binary_search_by(|ready| ready.id.cmp(&engine.back_end.id)) {
+            ready.remove(index);
         }
     }
 }
--- a/crates/routing/src/dispatch/pacing.rs
+++ b/crates/routing/src/dispatch/event_intervals.rs
@@ -19,17 +19,20 @@
             return;
         }
         let events = std::mem::take(&mut running.events);
-        let began = std::mem::replace(&mut running.observed, now);
-        if now < self.lagging_until || began < self.lagging_until {
+        let started = std::mem::replace(&mut running.observed, now);
+        if now < self.lagging_until || started < self.lagging_until {
             return;
         }
         let Some(engine) = self.engines.get_mut(&running.back_end) else { return };
         if engine.warmup.is_cold(now) {
             return;
         }
-        engine.limit.observe_event_interval(now, now.since(began) / events);
-        if let Some(pace) = engine.limit.event_interval() {
-            self.unloaded.entry(engine.back_end.service.clone()).or_default().observe(now, pace);
+        engine.limit.observe_event_interval(now, now.since(started) / events);
+        if let Some(interval) = engine.limit.event_interval() {
+            self.unloaded_intervals
+                .entry(engine.back_end.service.clone())
+                .or_default()
+                .observe(now, interval);
         }
         let back_end = running.back_end.clone();
         self.adjust_limit(now, &back_end);
@@ -58,17 +61,17 @@
     /// The time between events of an engine's streams, in times of the least that any router observed at
     /// the service; nothing for streams too short to tell.
     fn slowdown(&self, engine: &Engine) -> Option<f64> {
-        let pace = engine.limit.event_interval()?;
+        let interval = engine.limit.event_interval()?;
         let service = &engine.back_end.service;
-        let own = self.unloaded.get(service).and_then(UnloadedEventInterval::minimum);
-        let least = own.into_iter().chain(self.fleet.unloaded_pace(service)).min()?;
-        Some(pace.as_secs_f64() / least.as_secs_f64().max(f64::MIN_POSITIVE))
+        let own = self.unloaded_intervals.get(service).and_then(UnloadedEventInterval::minimum);
+        let minimum = own.into_iter().chain(self.fleet.unloaded_event_interval(service)).min()?;
+        Some(interval.as_secs_f64() / minimum.as_secs_f64().max(f64::MIN_POSITIVE))
     }
 
     /// The least time between events of each service that this router observed.
-    pub(super) fn unloaded_paces(&self) -> Vec<ServiceEventInterval> {
-        let observed = self.unloaded.iter().filter_map(|(service, pace)| {
-            let unloaded_micros = u32::try_from(pace.minimum()?.as_micros()).ok()?;
+    pub(super) fn unloaded_event_intervals(&self) -> Vec<ServiceEventInterval> {
+        let observed = self.unloaded_intervals.iter().filter_map(|(service, interval)| {
+            let unloaded_micros = u32::try_from(interval.minimum()?.as_micros()).ok()?;
             Some(ServiceEventInterval { service: service.clone(), unloaded_micros })
         });
         observed.collect()
--- a/crates/routing/src/dispatch/fair_level.rs
+++ b/crates/routing/src/dispatch/fair_level.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 /// Part of the fair share from which on others are left capacity before a tenant gets more.
-const HALF: f64 = 0.5;
+const PRECEDENCE_FRACTION: f64 = 0.5;
 
 /// How much of its max-min fair share of the capacity a tenant is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     asked: HashMap<String, f64>,
     given: HashMap<String, f64>,
     /// The most that a tenant is given before others go first, in tokens a second.
-    pub level: f64,
+    pub fair_level: f64,
 }
 
 impl Shares {
@@ -39,7 +39,7 @@
     ) -> Self {
         let mut demands: Vec<f64> = asked.values().copied().collect();
         let total_given: f64 = given.values().sum();
-        let level = capacity.map_or(f64::INFINITY, |capacity| {
+        let fair_level = capacity.map_or(f64::INFINITY, |capacity| {
             let declared = capacity as f64;
             let shared = match kind {
                 FairCapacity::Declared => declared,
@@ -47,7 +47,7 @@
             };
             water_level(&mut demands, shared)
         });
-        Self { asked, given, level }
+        Self { asked, given, fair_level }
     }
 
     /// Service that a tenant asks for, in tokens a second. What its callers ask for on connections that are closed unread is
@@ -64,9 +64,9 @@
     /// How much of its share a tenant is given.
     pub fn class(&self, tenant: &str) -> ShareClass {
         let given = self.given(tenant);
-        if given > self.level {
+        if given > self.fair_level {
             ShareClass::AboveShare
-        } else if given > self.level * HALF {
+        } else if given > self.fair_level * PRECEDENCE_FRACTION {
             ShareClass::BelowShare
         } else {
             ShareClass::BelowHalf
--- a/crates/routing/src/dispatch/fleet/mod.rs
+++ b/crates/routing/src/dispatch/fleet/mod.rs
@@ -22,22 +22,22 @@
 
 /// Time between two rounds of messages.
 pub const ROUND_PERIOD: Duration = Duration::from_millis(80);
-/// Silence after which figures no longer count: several rounds, so that single datagrams may be lost.
-const FIGURES_LIFE: Duration = Duration::from_millis(700);
+/// Silence after which stats no longer count: several rounds, so that single datagrams may be lost.
+const STATS_TTL: Duration = Duration::from_millis(700);
 /// Least silence after which a peer no longer counts as a router that may spend budget.
-const LEAST_PEER_LIFE: Duration = Duration::from_secs(12);
+const MIN_PEER_TTL: Duration = Duration::from_secs(12);
 /// Heartbeats that may be lost before a peer is taken as gone.
-const HEARTBEATS_PER_LIFE: u32 = 3;
+const HEARTBEATS_PER_TTL: u32 = 3;
 /// Heartbeats that a router of a large fleet sends in a round.
 const HEARTBEATS_PER_ROUND: usize = 2;
 /// Time without any router that reaches the source after which members try it: a failed call is repeated meanwhile.
 /// Without stand-ins a source that turned away three aggregators left 62 routers without any change for 9 s, by their
 /// logs.
-const STAND_IN_PATIENCE: Duration = Duration::from_millis(300);
-/// Time for which a router is not greeted again: it may be about to answer.
-const GREETING_PAUSE: Duration = Duration::from_secs(1);
+const FALLBACK_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for which a router is not hellos_sent again: it may be about to answer.
+const HELLO_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// What a router tells of itself beside its figures.
+/// What a router tells of itself beside its stats.
 #[derive(Debug, Clone)]
 pub struct OwnState {
     /// Its zone.
@@ -60,7 +60,7 @@
 
 /// Figures that no longer count, and those that do from now on.
 #[derive(Debug, Default)]
-pub struct FiguresChange {
+pub struct LoadStatsChange {
     /// What no longer counts.
     pub removed: Vec<LoadStats>,
     /// What counts now.
@@ -69,9 +69,9 @@
 
 /// What became of a digest or a sum.
 #[derive(Debug)]
-pub struct Heard {
+pub struct ReceivedUpdate {
     /// What it changes.
-    pub change: FiguresChange,
+    pub change: LoadStatsChange,
     /// Its sender, if it was not known before.
     pub new_peer: Option<NewPeer>,
 }
@@ -81,13 +81,13 @@
 pub struct NewPeer {
     /// Its digest address.
     pub address: SocketAddr,
-    /// Whether it is to be greeted: it may not know this router.
+    /// Whether it is to be hellos_sent: it may not know this router.
     pub needs_hello: bool,
 }
 
 #[derive(Debug)]
 struct Peer {
-    heard: Timestamp,
+    last_seen: Timestamp,
     state: RouterState,
     /// It sent no sums although this router reported to it, and was not heard since.
     is_suspected: bool,
@@ -95,9 +95,9 @@
     tiebreak: u64,
 }
 
-/// Whose figures are held here.
+/// Whose stats are held here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum FiguresSource {
+enum StatsSource {
     /// One router's own.
     Router(SocketAddr),
     /// Those of an aggregator and its members, at one part of the engines.
@@ -107,21 +107,21 @@
 }
 
 #[derive(Debug)]
-struct HeldFigures {
-    heard: Timestamp,
+struct HeldStats {
+    received: Timestamp,
     /// When the rates of tenants among them were told last; most messages leave them out.
-    rates_heard: Timestamp,
+    rates_received: Timestamp,
     /// The message that told them last.
-    by: IncludedDigest,
+    last_message: IncludedDigest,
     stats: LoadStats,
-    /// Parts into which the sender has split its figures.
+    /// Parts into which the sender has split its stats.
     parts: u32,
     source_answers: bool,
-    /// Routers whose figures these are, and those of them that shed.
+    /// Routers whose stats these are, and those of them that shed.
     routers: usize,
     shedding: usize,
-    /// Whether this router's own figures are part of them.
-    includes_me: bool,
+    /// Whether this router's own stats are part of them.
+    includes_self: bool,
 }
 
 /// What this router knows of the others.
@@ -139,27 +139,27 @@
     roster: BTreeMap<SocketAddr, RosterEntry>,
     /// Whether the settings name any other router; taken as so until the first round tells.
     has_seeds: bool,
-    held: BTreeMap<FiguresSource, HeldFigures>,
+    held: BTreeMap<StatsSource, HeldStats>,
     /// Routers that should send sums to this one, and when they did last, or else since when they should.
-    awaited: BTreeMap<SocketAddr, Timestamp>,
+    expected_sums: BTreeMap<SocketAddr, Timestamp>,
     /// When sums of the fleet came last, or else when this router became a member.
-    sums_heard: Timestamp,
+    last_fleet_sum: Timestamp,
     is_isolated: bool,
     /// Since when no router is known to reach the source.
-    source_lost: Option<Timestamp>,
+    source_lost_since: Option<Timestamp>,
     /// Since when this router reaches the source when no other did.
-    stands_in_since: Option<Timestamp>,
+    fallback_since: Option<Timestamp>,
     /// Since when peers have something newer.
     behind_since: Option<Timestamp>,
     reports: VecDeque<(u64, Vec<EngineLoad>)>,
     /// Messages of one round of its sums.
-    parts_of_members: SumParts,
-    parts_of_fleet: SumParts,
-    /// Routers that others have mentioned and that are not known.
-    mentioned: BTreeSet<SocketAddr>,
-    /// When routers were greeted lately.
-    greeted: BTreeMap<SocketAddr, Timestamp>,
-    others: PeerCapacity,
+    member_sum_parts: SumParts,
+    fleet_sum_parts: SumParts,
+    /// Routers that others have advertised and that are not known.
+    advertised: BTreeSet<SocketAddr>,
+    /// When routers were hellos_sent lately.
+    hellos_sent: BTreeMap<SocketAddr, Timestamp>,
+    peer_capacity: PeerCapacity,
 }
 
 impl Fleet {
@@ -176,114 +176,115 @@
             roster: BTreeMap::new(),
             has_seeds: true,
             held: BTreeMap::new(),
-            awaited: BTreeMap::new(),
-            sums_heard: Timestamp::ZERO,
+            expected_sums: BTreeMap::new(),
+            last_fleet_sum: Timestamp::ZERO,
             is_isolated: false,
-            source_lost: None,
-            stands_in_since: None,
+            source_lost_since: None,
+            fallback_since: None,
             behind_since: None,
             reports: VecDeque::new(),
-            parts_of_members: SumParts::default(),
-            parts_of_fleet: SumParts::default(),
-            mentioned: BTreeSet::new(),
-            greeted: BTreeMap::new(),
-            others: PeerCapacity::default(),
+            member_sum_parts: SumParts::default(),
+            fleet_sum_parts: SumParts::default(),
+            advertised: BTreeSet::new(),
+            hellos_sent: BTreeMap::new(),
+            peer_capacity: PeerCapacity::default(),
         }
     }
 
     /// Takes a digest; nothing for one of this router itself or one that is not newer than the last.
-    pub fn on_digest(&mut self, now: Timestamp, digest: Digest) -> Option<Heard> {
+    pub fn on_digest(&mut self, now: Timestamp, digest: Digest) -> Option<ReceivedUpdate> {
         let sender = digest.router.id;
-        let by =
+        let last_message =
             IncludedDigest { incarnation: sender.incarnation, sequence: digest.router.sequence };
         let contact = digest.router.contact;
-        let mut change = FiguresChange::default();
-        let is_new_peer = self.hear(now, digest.router, &mut change)?;
-        self.mentioned.extend(digest.peers);
+        let mut change = LoadStatsChange::default();
+        let is_new_peer = self.receive_state(now, digest.router, &mut change)?;
+        self.advertised.extend(digest.peers);
         // Who is reported to aggregates, also if it would not have chosen itself.
         let source_answers = digest.is_member && contact == SourceContact::Answered;
-        let counts = digest.is_member == (self.role != Role::Mesh);
-        if let Some(stats) = digest.stats.filter(|_| counts) {
-            let held = HeldFigures {
-                heard: now,
-                rates_heard: now,
-                by,
+        let uses_stats = digest.is_member == (self.role != Role::Mesh);
+        if let Some(stats) = digest.stats.filter(|_| uses_stats) {
+            let held = HeldStats {
+                received: now,
+                rates_received: now,
+                last_message,
                 stats,
                 parts: 1,
                 source_answers,
                 routers: 1,
                 shedding: 0,
-                includes_me: false,
+                includes_self: false,
             };
-            self.hold(FiguresSource::Router(sender.address), held, &mut change);
+            self.store(StatsSource::Router(sender.address), held, &mut change);
         }
-        let new_peer = is_new_peer.then(|| self.note_new_peer(now, sender.address));
-        Some(Heard { change, new_peer })
+        let new_peer = is_new_peer.then(|| self.record_new_peer(now, sender.address));
+        Some(ReceivedUpdate { change, new_peer })
     }
 
     /// Takes an aggregator's sums: as a member those of the fleet from its own aggregator, as an aggregator
     /// those of the others' members.
-    pub fn on_sum(&mut self, now: Timestamp, sum: Sum) -> Option<Heard> {
+    pub fn on_sum(&mut self, now: Timestamp, sum: Sum) -> Option<ReceivedUpdate> {
         let sender = sum.router.id;
-        let by = IncludedDigest { incarnation: sender.incarnation, sequence: sum.router.sequence };
-        let mut change = FiguresChange::default();
-        let is_new_peer = self.hear(now, sum.router, &mut change)?;
+        let last_message =
+            IncludedDigest { incarnation: sender.incarnation, sequence: sum.router.sequence };
+        let mut change = LoadStatsChange::default();
+        let is_new_peer = self.receive_state(now, sum.router, &mut change)?;
         // One that was passed on may come from a router that does not know this one.
-        let new_peer = is_new_peer.then(|| self.note_new_peer(now, sender.address));
+        let new_peer = is_new_peer.then(|| self.record_new_peer(now, sender.address));
         let source = match (sum.scope, self.role) {
             (SumScope::Members, Role::Aggregator) => {
                 self.drop_held_where(&mut change, |source, held| match source {
-                    FiguresSource::Router(address) => address == sender.address,
-                    FiguresSource::Members(address, _) => {
+                    StatsSource::Router(address) => address == sender.address,
+                    StatsSource::Members(address, _) => {
                         address == sender.address && held.parts != sum.parts
                     }
-                    FiguresSource::Fleet(_) => true,
+                    StatsSource::Fleet(_) => true,
                 });
-                FiguresSource::Members(sender.address, sum.part)
+                StatsSource::Members(sender.address, sum.part)
             }
             (SumScope::Fleet, Role::Member(aggregator)) if aggregator == sender.address => {
-                self.sums_heard = now;
+                self.last_fleet_sum = now;
                 self.drop_held_where(&mut change, |source, held| {
-                    matches!(source, FiguresSource::Fleet(_)) && held.parts != sum.parts
+                    matches!(source, StatsSource::Fleet(_)) && held.parts != sum.parts
                 });
-                FiguresSource::Fleet(sum.part)
+                StatsSource::Fleet(sum.part)
             }
-            _ => return Some(Heard { change, new_peer }),
+            _ => return Some(ReceivedUpdate { change, new_peer }),
         };
-        if let Some(heard) = self.awaited.get_mut(&sender.address) {
-            *heard = now;
+        if let Some(last) = self.expected_sums.get_mut(&sender.address) {
+            *last = now;
         }
         let mine = sum.included.iter().find(|included| included.incarnation == self.me.incarnation);
         let stats = match mine.and_then(|mine| self.report(mine.sequence)) {
             Some(loads) => sum.stats.without_loads(loads),
             None => sum.stats,
         };
-        let held = HeldFigures {
-            heard: now,
-            rates_heard: now,
-            by,
+        let held = HeldStats {
+            received: now,
+            rates_received: now,
+            last_message,
             stats,
             parts: sum.parts,
             source_answers: sum.source_answers,
             routers: sum.included.len() + 1,
             shedding: sum.shedding as usize,
-            includes_me: mine.is_some(),
+            includes_self: mine.is_some(),
         };
-        self.hold(source, held, &mut change);
-        Some(Heard { change, new_peer })
+        self.store(source, held, &mut change);
+        Some(ReceivedUpdate { change, new_peer })
     }
 
     /// Notes that a router was heard for the first time.
-    fn note_new_peer(&mut self, now: Timestamp, address: SocketAddr) -> NewPeer {
-        NewPeer { address, needs_hello: self.greeted.insert(address, now).is_none() }
+    fn record_new_peer(&mut self, now: Timestamp, address: SocketAddr) -> NewPeer {
+        NewPeer { address, needs_hello: self.hellos_sent.insert(address, now).is_none() }
     }
 
     /// Notes a peer's state. Gives whether it was not known; nothing if the state is no news.
-    fn hear(
+    fn receive_state(
         &mut self,
         now: Timestamp,
         state: RouterState,
-        change: &mut FiguresChange,
+        change: &mut LoadStatsChange,
     ) -> Option<bool> {
         let address = state.id.address;
         if address == self.me.address {
@@ -296,24 +297,24 @@
         }
         if is_new {
             self.drop_held(change, |source| {
-                matches!(source, FiguresSource::Router(held) | FiguresSource::Members(held, _) if held == address)
+                matches!(source, StatsSource::Router(origin) | StatsSource::Members(origin, _) if origin == address)
             });
         }
         let tiebreak =
             self.peers.get(&address).map_or_else(|| tiebreak(address), |peer| peer.tiebreak);
-        self.note_on_roster(now, &state, tiebreak);
-        self.peers.insert(address, Peer { heard: now, state, is_suspected: false, tiebreak });
+        self.update_roster(now, &state, tiebreak);
+        self.peers.insert(address, Peer { last_seen: now, state, is_suspected: false, tiebreak });
         Some(is_new)
     }
 
-    /// Takes newer figures of a source. What they leave out holds on and is no change.
-    fn hold(&mut self, source: FiguresSource, mut held: HeldFigures, change: &mut FiguresChange) {
+    /// Takes newer stats of a source. What they leave out holds on and is no change.
+    fn store(&mut self, source: StatsSource, mut held: HeldStats, change: &mut LoadStatsChange) {
         change.added = Some(held.stats.clone());
         let has_tenant_rates = held.stats.has_tenant_rates();
         let mut stats = LoadStats::default();
         if let Some(earlier) = self.held.remove(&source) {
             if !has_tenant_rates {
-                held.rates_heard = earlier.rates_heard;
+                held.rates_received = earlier.rates_received;
             }
             stats = earlier.stats;
         }
@@ -325,19 +326,19 @@
 
     fn drop_held(
         &mut self,
-        change: &mut FiguresChange,
-        is_dropped: impl Fn(FiguresSource) -> bool,
+        change: &mut LoadStatsChange,
+        is_dropped: impl Fn(StatsSource) -> bool,
     ) {
         self.drop_held_where(change, |source, _| is_dropped(source));
     }
 
     fn drop_held_where(
         &mut self,
-        change: &mut FiguresChange,
-        is_dropped: impl Fn(FiguresSource, &HeldFigures) -> bool,
+        change: &mut LoadStatsChange,
+        is_dropped: impl Fn(StatsSource, &HeldStats) -> bool,
     ) {
         let dropped = self.held.iter().filter(|(source, held)| is_dropped(**source, held));
-        let dropped: Vec<FiguresSource> = dropped.map(|(source, _)| *source).collect();
+        let dropped: Vec<StatsSource> = dropped.map(|(source, _)| *source).collect();
         let dropped = dropped.iter().filter_map(|source| self.held.remove(source));
         change.removed.extend(dropped.map(|held| held.stats));
     }
@@ -348,23 +349,23 @@
         kept.map(|(_, loads)| loads.as_slice())
     }
 
-    /// Forgets silent peers and figures that are too old.
-    pub fn expire(&mut self, now: Timestamp) -> FiguresChange {
-        let mut change = FiguresChange::default();
-        let is_old = |held: &HeldFigures| now.since(held.heard) > FIGURES_LIFE;
-        let old: Vec<FiguresSource> =
+    /// Forgets silent peers and stats that are too old.
+    pub fn expire(&mut self, now: Timestamp) -> LoadStatsChange {
+        let mut change = LoadStatsChange::default();
+        let is_old = |held: &HeldStats| now.since(held.received) > STATS_TTL;
+        let old: Vec<StatsSource> =
             self.held.iter().filter(|(_, held)| is_old(held)).map(|(source, _)| *source).collect();
         self.drop_held(&mut change, |source| old.contains(&source));
-        let life = self.peer_life();
-        self.peers.retain(|_, peer| now.since(peer.heard) <= life);
+        let ttl = self.peer_ttl();
+        self.peers.retain(|_, peer| now.since(peer.last_seen) <= ttl);
         self.expire_roster(now);
-        self.greeted.retain(|_, greeted| now.since(*greeted) <= GREETING_PAUSE);
+        self.hellos_sent.retain(|_, sent| now.since(*sent) <= HELLO_COOLDOWN);
         change
     }
 
     /// Silence after which a peer is taken as gone.
-    fn peer_life(&self) -> Duration {
+    fn peer_ttl(&self) -> Duration {
         let rounds = self.peers.len().div_ceil(HEARTBEATS_PER_ROUND) as u32;
-        LEAST_PEER_LIFE.max(ROUND_PERIOD * rounds * HEARTBEATS_PER_LIFE)
+        MIN_PEER_TTL.max(ROUND_PERIOD * rounds * HEARTBEATS_PER_TTL)
     }
 }
--- a/crates/routing/src/dispatch/fleet/role.rs
+++ b/crates/routing/src/dispatch/fleet/role.rs
@@ -1,55 +1,55 @@
-//! How a router tells its figures: to all, to an aggregator, or as one.
+//! How a router tells its stats: to all, to an aggregator, or as one.
 
-use super::{FiguresChange, FiguresSource, Fleet, OwnState, STAND_IN_PATIENCE};
-use crate::dispatch::aggregation::{Aggregators, Candidate, LARGEST_MESH, Role};
+use super::{FALLBACK_TIMEOUT, Fleet, LoadStatsChange, OwnState, StatsSource};
+use crate::dispatch::aggregation::{Aggregators, Candidate, MAX_MESH_PEERS, Role};
 use crate::source_watchers::SourceContact;
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
 /// Silence of an aggregator after which its members turn to another: three rounds may be lost.
-const AGGREGATOR_SILENCE: Duration = Duration::from_millis(240);
+const AGGREGATOR_TIMEOUT: Duration = Duration::from_millis(240);
 /// Time without any sum of the fleet after which a member takes itself as cut off from the others.
-const ISOLATION: Duration = Duration::from_millis(1_500);
+const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Fleet {
-    /// Works out how this router tells its figures from now on.
-    pub fn choose_role(&mut self, now: Timestamp, own: &OwnState) -> FiguresChange {
+    /// Works out how this router tells its stats from now on.
+    pub fn choose_role(&mut self, now: Timestamp, own: &OwnState) -> LoadStatsChange {
         self.suspect_silent_aggregators(now);
         let role = self.next_role(own);
-        let change = self.drop_figures_of_other_role(role);
+        let change = self.drop_stats_of_other_role(role);
         if std::mem::discriminant(&role) != std::mem::discriminant(&self.role) {
-            self.sums_heard = now;
+            self.last_fleet_sum = now;
         }
         self.role = role;
-        self.await_sums(now, own);
+        self.update_expected_sums(now, own);
         let is_member = matches!(role, Role::Member(_));
-        self.is_isolated = is_member && now.since(self.sums_heard) > ISOLATION;
-        self.others = self.count_others(now, own);
-        self.follow_contact(now, own.contact);
-        self.watch_news(now, own);
+        self.is_isolated = is_member && now.since(self.last_fleet_sum) > ISOLATION_TIMEOUT;
+        self.peer_capacity = self.measure_peer_capacity(now, own);
+        self.track_source_contact(now, own.contact);
+        self.update_behind_since(now, own);
         change
     }
 
-    fn follow_contact(&mut self, now: Timestamp, own: SourceContact) {
+    fn track_source_contact(&mut self, now: Timestamp, own: SourceContact) {
         if own == SourceContact::Answered {
-            let lost = self.source_lost.take();
-            if lost.is_some_and(|lost| now.since(lost) >= STAND_IN_PATIENCE) {
-                self.stands_in_since = Some(now);
+            let lost = self.source_lost_since.take();
+            if lost.is_some_and(|lost| now.since(lost) >= FALLBACK_TIMEOUT) {
+                self.fallback_since = Some(now);
             }
             return;
         }
-        self.stands_in_since = None;
-        if self.does_any_reach_source(now) {
-            self.source_lost = None;
+        self.fallback_since = None;
+        if self.any_peer_reaches_source(now) {
+            self.source_lost_since = None;
         } else {
-            self.source_lost.get_or_insert(now);
+            self.source_lost_since.get_or_insert(now);
         }
     }
 
     /// Drops what `next`, if it is another role, does not hear any more. A new aggregator keeps the last sums of the
     /// fleet until others send it theirs, and what its members have begun to report.
-    fn drop_figures_of_other_role(&mut self, next: Role) -> FiguresChange {
-        let mut change = FiguresChange::default();
+    fn drop_stats_of_other_role(&mut self, next: Role) -> LoadStatsChange {
+        let mut change = LoadStatsChange::default();
         match (self.role, next) {
             (Role::Mesh, Role::Mesh)
             | (Role::Member(_), Role::Member(_) | Role::Aggregator)
@@ -60,8 +60,8 @@
     }
 
     fn suspect_silent_aggregators(&mut self, now: Timestamp) {
-        let awaited = self.awaited.iter();
-        let silent = awaited.filter(|(_, heard)| now.since(**heard) > AGGREGATOR_SILENCE);
+        let expected = self.expected_sums.iter();
+        let silent = expected.filter(|(_, last)| now.since(**last) > AGGREGATOR_TIMEOUT);
         for (address, _) in silent {
             if let Some(peer) = self.peers.get_mut(address) {
                 peer.is_suspected = true;
@@ -69,16 +69,16 @@
         }
     }
 
-    /// Sums are awaited from those who should aggregate: a member's own aggregator, all others of an aggregator.
-    fn await_sums(&mut self, now: Timestamp, own: &OwnState) {
+    /// Sums are expected_sums from those who should aggregate: a member's own aggregator, all others of an aggregator.
+    fn update_expected_sums(&mut self, now: Timestamp, own: &OwnState) {
         let expected = match self.role {
             Role::Mesh => Vec::new(),
             Role::Member(aggregator) => vec![aggregator],
             Role::Aggregator => Aggregators::choose(self.candidates(own)).addresses().collect(),
         };
-        let earlier = std::mem::take(&mut self.awaited);
+        let earlier = std::mem::take(&mut self.expected_sums);
         let since = |address| earlier.get(&address).copied().unwrap_or(now);
-        self.awaited = expected
+        self.expected_sums = expected
             .into_iter()
             .filter(|address| *address != self.me.address)
             .map(|address| (address, since(address)))
@@ -87,15 +87,15 @@
 
     /// Routers of the fleet, as many as any router knows.
     pub fn size(&self) -> usize {
-        let told = self.peers.values().map(|peer| peer.state.routers as usize).max();
-        self.routers().max(told.unwrap_or(0))
+        let reported = self.peers.values().map(|peer| peer.state.routers as usize).max();
+        self.routers().max(reported.unwrap_or(0))
     }
 
     fn next_role(&self, own: &OwnState) -> Role {
-        if self.size() <= LARGEST_MESH + 1 {
+        if self.size() <= MAX_MESH_PEERS + 1 {
             return Role::Mesh;
         }
-        let has_members = self.held.keys().any(|source| matches!(source, FiguresSource::Router(_)));
+        let has_members = self.held.keys().any(|source| matches!(source, StatsSource::Router(_)));
         if has_members && self.role != Role::Mesh {
             return Role::Aggregator;
         }
@@ -121,7 +121,7 @@
         peers.chain([me])
     }
 
-    /// How this router tells its figures.
+    /// How this router tells its stats.
     pub fn role(&self) -> Role {
         self.role
     }
--- a/crates/routing/src/dispatch/fleet/rounds.rs
+++ b/crates/routing/src/dispatch/fleet/rounds.rs
@@ -1,8 +1,8 @@
 //! The messages that a router sends.
 
-use super::{FiguresSource, Fleet, HEARTBEATS_PER_ROUND, HeldFigures, OwnState, Peer};
+use super::{Fleet, HEARTBEATS_PER_ROUND, HeldStats, OwnState, Peer, StatsSource};
 use crate::digest::{Digest, Outgoing, PeerMessage, RouterPhase, RouterState, Sum, SumScope};
-use crate::dispatch::aggregation::{LARGEST_MESH, Role};
+use crate::dispatch::aggregation::{MAX_MESH_PEERS, Role};
 use crate::load_stats::{LoadStats, LoadStatsSum};
 use crate::source_watchers::SourceContact;
 use mastbay_types::Timestamp;
@@ -10,30 +10,30 @@
 use std::net::SocketAddr;
 
 /// Rounds between two calls to seeds while the fleet is small; in a larger one, more in proportion.
-const ROUNDS_PER_SEED_CALL: u64 = 12;
+const ROUNDS_PER_SEED_CONTACT: u64 = 12;
 /// Addresses of peers passed on in one digest.
-const PEERS_PASSED_ON: usize = 6;
+const PEERS_PER_DIGEST: usize = 6;
 /// Addresses passed on to a router that was not known, so that it soon knows all.
-const PEERS_FOR_NEWCOMERS: usize = 30;
-/// Unknown routers that are greeted in one round. All of 300 know each other within two seconds, and what a start of
+const PEERS_PER_HELLO: usize = 30;
+/// Unknown routers that are hellos_sent in one round. All of 300 know each other within two seconds, and what a start of
 /// the whole fleet costs each of them stays small.
-const GREETINGS_PER_ROUND: usize = 8;
+const MAX_HELLOS_PER_ROUND: usize = 8;
 /// One digest in this many of a mesh tells of tenants and of further routers; they change slowly.
-const FULL_DIGEST: u64 = 4;
+const FULL_DIGEST_INTERVAL: u64 = 4;
 /// One round in this many of a large fleet tells of what changes slowly.
-const FULL_ROUND: u64 = 8;
+const FULL_ROUND_INTERVAL: u64 = 8;
 /// Tenants whose rates a round tells that is not full. Rates told each eighth round are up to two seconds old when they come
 /// out of the aggregators, and of two tenants above their share each in turn was given everything: 0.43 of what one was due
 /// over six seconds, in virtual time with 295 routers, and 0.74 with the rates in each round. The bound is for the size of the
 /// message: 48 tenants take about 1 KB.
 pub const HEAVIEST_TENANTS: usize = 48;
-/// Engines in one message of sums: with their levels they take 57 bytes each, and a datagram holds 61,440.
+/// Engines in one message of sums: with their service_levels they take 57 bytes each, and a datagram holds 61,440.
 const ENGINES_PER_SUM: usize = 900;
-/// Rounds in which fewer parts were enough after which there are fewer: receivers let go of all figures where the number of parts
+/// Rounds in which fewer parts were enough after which there are fewer: receivers let go of all stats where the number of parts
 /// changes.
 const ROUNDS_PER_SHRINK: u64 = 100;
 /// Reports kept until the sums that hold them come back.
-const REPORTS_KEPT: usize = 16;
+const MAX_REPORTS: usize = 16;
 
 /// Into how many messages sums are split. It follows from the engines that are told of, which are those in use, and not from all that
 /// are known: 9,998 known ones made twelve messages a round for each member, however few were in use.
@@ -68,48 +68,48 @@
     /// Those of this zone, and single ones of other zones.
     direct: Vec<SocketAddr>,
     /// One of each further zone, which passes them on.
-    pass_on: Vec<SocketAddr>,
+    relays: Vec<SocketAddr>,
 }
 
 impl Fleet {
     /// Whether the next round of a large fleet tells what changes slowly too.
     fn is_full_round(&self) -> bool {
-        self.round.is_multiple_of(FULL_ROUND)
+        self.round.is_multiple_of(FULL_ROUND_INTERVAL)
     }
 
     /// Figures as the next round of a large fleet tells them.
-    fn for_round(&self, stats: LoadStats) -> LoadStats {
+    fn stats_for_round(&self, stats: LoadStats) -> LoadStats {
         if self.is_full_round() { stats } else { stats.with_heaviest_tenants(HEAVIEST_TENANTS) }
     }
 
-    /// Whether the next round tells what changes slowly; a mesh tells of engines' levels each time.
-    pub fn tells_slow_figures(&self) -> bool {
+    /// Whether the next round tells what changes slowly; a mesh tells of engines' service_levels each time.
+    pub fn includes_slow_stats(&self) -> bool {
         self.role == Role::Mesh || self.is_full_round()
     }
 
-    /// A digest of this router for all others; one in a few tells of tenants, paces and further routers.
+    /// A digest of this router for all others; one in a few tells of tenants, event_intervals and further routers.
     pub fn digest(&mut self, own: OwnState, mut stats: LoadStats) -> Digest {
-        let is_full = (self.sequence + 1) % FULL_DIGEST == 1;
+        let is_full = (self.sequence + 1) % FULL_DIGEST_INTERVAL == 1;
         if !is_full {
             stats.tenants = None;
             stats.event_intervals = None;
         }
-        let count = if is_full { PEERS_PASSED_ON } else { 0 };
+        let count = if is_full { PEERS_PER_DIGEST } else { 0 };
         self.digest_with(own, Some(stats), count)
     }
 
-    /// A digest without figures.
+    /// A digest without stats.
     fn heartbeat(&mut self, own: OwnState, peers: usize) -> Digest {
         self.digest_with(own, None, peers)
     }
 
     /// The answer to a router that was not known.
     pub fn hello(&mut self, own: OwnState) -> Digest {
-        self.heartbeat(own, PEERS_FOR_NEWCOMERS)
+        self.heartbeat(own, PEERS_PER_HELLO)
     }
 
     fn digest_with(&mut self, own: OwnState, stats: Option<LoadStats>, peers: usize) -> Digest {
-        let peers = self.some_addresses(peers);
+        let peers = self.rotating_addresses(peers);
         Digest { router: self.next_state(own), stats, is_member: false, peers }
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Some peers, others each time.
-    fn some_addresses(&self, count: usize) -> Vec<SocketAddr> {
+    fn rotating_addresses(&self, count: usize) -> Vec<SocketAddr> {
         let peers: Vec<SocketAddr> = self.peers.keys().copied().collect();
         let start = (self.sequence as usize).wrapping_mul(count) % peers.len().max(1);
         peers.iter().cycle().skip(start).take(count.min(peers.len())).copied().collect()
@@ -147,51 +147,51 @@
         seeds: &[SocketAddr],
     ) -> Vec<Outgoing> {
         self.has_seeds = !seeds.is_empty();
-        let called_seeds = if self.calls_seeds() { seeds } else { &[] };
+        let contacted_seeds = if self.contacts_seeds() { seeds } else { &[] };
         let mut messages = match self.role {
-            Role::Mesh => vec![self.mesh_round(own, stats, called_seeds)],
+            Role::Mesh => vec![self.mesh_round(own, stats, contacted_seeds)],
             Role::Member(aggregator) => {
                 let report = self.member_report(own, stats, aggregator);
-                vec![report, self.heartbeat_round(own, called_seeds)]
+                vec![report, self.heartbeat_round(own, contacted_seeds)]
             }
             Role::Aggregator => {
                 let mut messages = self.aggregator_round(own, &stats);
-                messages.push(self.heartbeat_round(own, called_seeds));
+                messages.push(self.heartbeat_round(own, contacted_seeds));
                 messages
             }
         };
-        messages.extend(self.greetings(now, own));
+        messages.extend(self.next_hellos(now, own));
         self.round += 1;
         messages
     }
 
-    /// Greets some of the routers that were mentioned and are not known.
-    fn greetings(&mut self, now: Timestamp, own: &OwnState) -> Option<Outgoing> {
-        let mentioned = std::mem::take(&mut self.mentioned);
+    /// Greets some of the routers that were advertised and are not known.
+    fn next_hellos(&mut self, now: Timestamp, own: &OwnState) -> Option<Outgoing> {
+        let advertised = std::mem::take(&mut self.advertised);
         let is_unknown = |address: &SocketAddr| {
             *address != self.me.address
                 && !self.peers.contains_key(address)
-                && !self.greeted.contains_key(address)
+                && !self.hellos_sent.contains_key(address)
         };
-        let mut targets: Vec<SocketAddr> = mentioned.into_iter().filter(is_unknown).collect();
+        let mut targets: Vec<SocketAddr> = advertised.into_iter().filter(is_unknown).collect();
         if targets.is_empty() {
             return None;
         }
         // Each router begins elsewhere, so that not all greet the same ones.
         let first = self.tiebreak as usize % targets.len();
         targets.rotate_left(first);
-        let later = targets.split_off(targets.len().min(GREETINGS_PER_ROUND));
-        self.mentioned = later.into_iter().collect();
-        self.greeted.extend(targets.iter().map(|target| (*target, now)));
+        let remaining = targets.split_off(targets.len().min(MAX_HELLOS_PER_ROUND));
+        self.advertised = remaining.into_iter().collect();
+        self.hellos_sent.extend(targets.iter().map(|target| (*target, now)));
         let hello = self.hello(own.clone());
         Some(self.outgoing(PeerMessage::Digest(hello), targets))
     }
 
-    fn calls_seeds(&self) -> bool {
-        let factor = (self.peers.len() / LARGEST_MESH).max(1) as u64;
+    fn contacts_seeds(&self) -> bool {
+        let factor = (self.peers.len() / MAX_MESH_PEERS).max(1) as u64;
         self.peers.is_empty()
             || self.is_isolated
-            || self.round.is_multiple_of(ROUNDS_PER_SEED_CALL * factor)
+            || self.round.is_multiple_of(ROUNDS_PER_SEED_CONTACT * factor)
     }
 
     fn mesh_round(&mut self, own: &OwnState, stats: LoadStats, seeds: &[SocketAddr]) -> Outgoing {
@@ -205,7 +205,7 @@
         let peers = self.peers.keys().cycle().skip(first);
         let peers = peers.take(HEARTBEATS_PER_ROUND.min(self.peers.len()));
         let targets = peers.chain(seeds).copied().collect();
-        let heartbeat = self.heartbeat(own.clone(), PEERS_PASSED_ON);
+        let heartbeat = self.heartbeat(own.clone(), PEERS_PER_DIGEST);
         self.outgoing(PeerMessage::Digest(heartbeat), targets)
     }
 
@@ -213,21 +213,21 @@
         let loads = stats.loads.clone();
         let router = self.next_state(own.clone());
         self.reports.push_back((router.sequence, loads));
-        if self.reports.len() > REPORTS_KEPT {
+        if self.reports.len() > MAX_REPORTS {
             self.reports.pop_front();
         }
-        let stats = Some(self.for_round(stats));
+        let stats = Some(self.stats_for_round(stats));
         let digest = Digest { router, stats, is_member: true, peers: Vec::new() };
         self.outgoing(PeerMessage::Digest(digest), vec![to])
     }
 
     fn aggregator_round(&mut self, own: &OwnState, stats: &LoadStats) -> Vec<Outgoing> {
-        let with_slow_ones = self.is_full_round();
+        let is_full_round = self.is_full_round();
         let add = |sum: &mut LoadStatsSum, stats: &LoadStats| {
             sum.add_loads(stats);
             sum.add_releases(stats);
             sum.add_rates(stats);
-            if with_slow_ones {
+            if is_full_round {
                 sum.add_slow_changing(stats);
             }
         };
@@ -236,23 +236,24 @@
         self.members().for_each(|(_, held)| add(&mut members, &held.stats));
         let mut fleet = members.clone();
         let other_sums =
-            self.held.iter().filter(|(source, _)| !matches!(source, FiguresSource::Router(_)));
+            self.held.iter().filter(|(source, _)| !matches!(source, StatsSource::Router(_)));
         other_sums.for_each(|(_, held)| add(&mut fleet, &held.stats));
         let of_members = self.sums(own, SumScope::Members, members);
         let of_fleet = self.sums(own, SumScope::Fleet, fleet);
         let aggregators = self.next_aggregators(&own.zone);
-        let reporting: Vec<SocketAddr> = self.members().map(|(member, _)| member).collect();
+        let member_addresses: Vec<SocketAddr> = self.members().map(|(member, _)| member).collect();
         let mut messages = Vec::new();
         for sum in of_members {
             // Zones have one aggregator each up to 64 routers: then nothing is copied to be passed on.
-            if !aggregators.pass_on.is_empty() {
+            if !aggregators.relays.is_empty() {
                 let for_zones = PeerMessage::SumForZone(sum.clone());
-                messages.push(self.outgoing(for_zones, aggregators.pass_on.clone()));
+                messages.push(self.outgoing(for_zones, aggregators.relays.clone()));
             }
             messages.push(self.outgoing(PeerMessage::Sum(sum), aggregators.direct.clone()));
         }
-        let to_members =
-            of_fleet.into_iter().map(|sum| self.outgoing(PeerMessage::Sum(sum), reporting.clone()));
+        let to_members = of_fleet
+            .into_iter()
+            .map(|sum| self.outgoing(PeerMessage::Sum(sum), member_addresses.clone()));
         messages.extend(to_members);
         messages.retain(|outgoing| !outgoing.targets.is_empty());
         messages
@@ -273,20 +274,20 @@
                 _ => next.direct.push(address),
             }
         }
-        let turn = self.round.wrapping_add(self.tiebreak) as usize;
+        let rotation = self.round.wrapping_add(self.tiebreak) as usize;
         for mut aggregators in zones.into_values() {
             aggregators.sort_unstable();
             aggregators.dedup();
             match aggregators[..] {
                 [single] => next.direct.push(single),
-                _ => next.pass_on.push(aggregators[turn % aggregators.len()]),
+                _ => next.relays.push(aggregators[rotation % aggregators.len()]),
             }
         }
         next
     }
 
     /// Sums of an aggregator of another zone for the other aggregators of this one's zone.
-    pub fn passed_on(&self, own_zone: &str, sum: &Sum) -> Option<Outgoing> {
+    pub fn relayed_sum(&self, own_zone: &str, sum: &Sum) -> Option<Outgoing> {
         if self.role != Role::Aggregator {
             return None;
         }
@@ -299,11 +300,11 @@
 
     /// Messages with a sum, one for each part of the engines.
     fn sums(&mut self, own: &OwnState, scope: SumScope, sum: LoadStatsSum) -> Vec<Sum> {
-        let stats = self.for_round(sum.into_stats(self.is_full_round()));
+        let stats = self.stats_for_round(sum.into_stats(self.is_full_round()));
         let round = self.round;
         let parts = match scope {
-            SumScope::Members => &mut self.parts_of_members,
-            SumScope::Fleet => &mut self.parts_of_fleet,
+            SumScope::Members => &mut self.member_sum_parts,
+            SumScope::Fleet => &mut self.fleet_sum_parts,
         };
         let parts = parts.for_entries(round, stats.engine_count());
         let stats = stats.split(parts);
@@ -320,33 +321,33 @@
     ) -> Sum {
         let answered = own.contact == SourceContact::Answered;
         let others_answered = self.held.iter().any(|(source, held)| {
-            let is_told = scope == SumScope::Fleet || matches!(source, FiguresSource::Router(_));
-            is_told && held.source_answers
+            let is_included = scope == SumScope::Fleet || matches!(source, StatsSource::Router(_));
+            is_included && held.source_answers
         });
         let is_shedding = |peer: &&Peer| peer.state.phase == RouterPhase::Shedding;
         let shedding = self.members().filter_map(|(address, _)| self.peers.get(&address));
         let own_shedding = u32::from(own.phase == RouterPhase::Shedding);
         let shedding = shedding.filter(is_shedding).count() as u32 + own_shedding;
-        let included = self.members().map(|(_, held)| held.by).collect();
+        let included = self.members().map(|(_, held)| held.last_message).collect();
         let source_answers = answered || others_answered;
         let router = self.next_state(own.clone());
         Sum { router, scope, part, parts, stats, source_answers, shedding, included }
     }
 
     /// The routers that report to this one.
-    fn members(&self) -> impl Iterator<Item = (SocketAddr, &HeldFigures)> {
+    fn members(&self) -> impl Iterator<Item = (SocketAddr, &HeldStats)> {
         self.held.iter().filter_map(|(source, held)| match source {
-            FiguresSource::Router(address) => Some((*address, held)),
-            FiguresSource::Members(..) | FiguresSource::Fleet(_) => None,
+            StatsSource::Router(address) => Some((*address, held)),
+            StatsSource::Members(..) | StatsSource::Fleet(_) => None,
         })
     }
 
     /// Those that should aggregate, and those that do.
     fn other_aggregators(&self) -> Vec<SocketAddr> {
-        let mut all: Vec<SocketAddr> = self.awaited.keys().copied().collect();
+        let mut all: Vec<SocketAddr> = self.expected_sums.keys().copied().collect();
         all.extend(self.held.keys().filter_map(|source| match source {
-            FiguresSource::Members(address, _) => Some(*address),
-            FiguresSource::Router(_) | FiguresSource::Fleet(_) => None,
+            StatsSource::Members(address, _) => Some(*address),
+            StatsSource::Router(_) | StatsSource::Fleet(_) => None,
         }));
         all
     }
--- a/crates/routing/src/dispatch/fleet/view.rs
+++ b/crates/routing/src/dispatch/fleet/view.rs
@@ -1,6 +1,6 @@
 //! What a router knows by its peers: how many there are, who reaches the source, what they have at engines.
 
-use super::{FIGURES_LIFE, FiguresSource, Fleet, OwnState, STAND_IN_PATIENCE};
+use super::{FALLBACK_TIMEOUT, Fleet, OwnState, STATS_TTL, StatsSource};
 use crate::digest::{RouterPhase, RouterState};
 use crate::dispatch::aggregation::Role;
 use crate::fingerprint::RequestFingerprint;
@@ -15,19 +15,19 @@
 use std::time::Duration;
 
 /// Time of a member's turn to try.
-const STAND_IN_TURN: Duration = Duration::from_millis(200);
+const FALLBACK_SLOT: Duration = Duration::from_millis(200);
 /// Members that try in one turn, in the mean: where half of them are turned away, none of this many is answered once in twenty turns.
-const STAND_IN_CANDIDATES: u64 = 6;
+const FALLBACK_CANDIDATES: u64 = 6;
 /// Time for which a member that is answered follows the source before it looks whether others do.
-const STAND_IN: Duration = Duration::from_secs(5);
+const FALLBACK_DURATION: Duration = Duration::from_secs(5);
 /// Peers of a large fleet that are told of ends, and of back ends that drain, in a round. All of 295 routers know after 0.64 s what three
 /// of them saw, with a tenth of the datagrams lost, and after 0.72 s with three tenths lost (virtual time, `tests/quarantine.rs`).
 const GOSSIP_TARGETS: u8 = 3;
 /// Time for which a member that is behind waits for a router of its zone to have what it lacks: its aggregator asks in other zones within
 /// a round or two. Without it all routers that start fetch the whole list, 1.4 MB, from the few that have it, wherever these are.
-const ZONE_PATIENCE: Duration = Duration::from_millis(400);
+const ZONE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How many times the processor of another a much larger router has.
-const MUCH_MORE: f32 = 1.5;
+const MUCH_LARGER_RATIO: f32 = 1.5;
 
 impl Fleet {
     /// Number of routers, this one included.
@@ -72,12 +72,12 @@
 
     /// One peer, drawn.
     pub fn random_peer(&self, draw: u64) -> Option<SocketAddr> {
-        let place = draw.checked_rem(self.peers.len() as u64)?;
-        self.peers.keys().nth(place as usize).copied()
+        let index = draw.checked_rem(self.peers.len() as u64)?;
+        self.peers.keys().nth(index as usize).copied()
     }
 
     fn fresh_peers(&self, now: Timestamp) -> impl Iterator<Item = &RouterState> {
-        let fresh = self.peers.values().filter(move |peer| now.since(peer.heard) <= FIGURES_LIFE);
+        let fresh = self.peers.values().filter(move |peer| now.since(peer.last_seen) <= STATS_TTL);
         fresh.map(|peer| &peer.state)
     }
 
@@ -86,7 +86,7 @@
     fn close_peers(&self, now: Timestamp) -> impl Iterator<Item = &RouterState> {
         let is_mesh = self.role == Role::Mesh;
         let is_close = move |state: &&RouterState| {
-            is_mesh || self.held.contains_key(&FiguresSource::Members(state.id.address, 0))
+            is_mesh || self.held.contains_key(&StatsSource::Members(state.id.address, 0))
         };
         self.fresh_peers(now).filter(is_close)
     }
@@ -98,7 +98,7 @@
     }
 
     /// Whether any router that was heard lately reached the source with its last call.
-    pub fn does_any_reach_source(&self, now: Timestamp) -> bool {
+    pub fn any_peer_reaches_source(&self, now: Timestamp) -> bool {
         self.is_source_answering(now)
             || self.fresh_peers(now).any(|peer| peer.contact == SourceContact::Answered)
     }
@@ -107,10 +107,10 @@
     /// stand in for aggregators.
     pub fn follows_source(&self, now: Timestamp, contact: SourceContact) -> bool {
         if matches!(self.role, Role::Member(_)) {
-            return self.is_isolated || self.stands_in(now);
+            return self.is_isolated || self.is_fallback(now);
         }
-        let serving = self.close_peers(now).filter(|peer| peer.phase != RouterPhase::Leaving);
-        let others = serving
+        let active = self.close_peers(now).filter(|peer| peer.phase != RouterPhase::Leaving);
+        let others = active
             .map(|peer| source_watchers::Candidate { router: peer.id, contact: peer.contact });
         source_watchers::follows_source(
             source_watchers::Candidate { router: self.me, contact },
@@ -120,19 +120,20 @@
 
     /// Whether a member follows the source because no router reaches it: the source may turn away all aggregators and
     /// serve others. Members try in turns, a few of the fleet in each, and one that is answered goes on for a while.
-    fn stands_in(&self, now: Timestamp) -> bool {
-        if let Some(since) = self.stands_in_since {
-            return now.since(since) < STAND_IN || self.is_aggregator_turned_away(now);
+    fn is_fallback(&self, now: Timestamp) -> bool {
+        if let Some(since) = self.fallback_since {
+            return now.since(since) < FALLBACK_DURATION || self.has_aggregator_lost_source(now);
         }
-        let is_lost = self.source_lost.is_some_and(|lost| now.since(lost) >= STAND_IN_PATIENCE);
-        let turn = now.as_micros() / STAND_IN_TURN.as_micros() as u64;
-        let draw = stable_hash(&[&turn.to_be_bytes(), &self.tiebreak.to_be_bytes()]);
-        is_lost && draw % (self.size() as u64) < STAND_IN_CANDIDATES
+        let is_lost =
+            self.source_lost_since.is_some_and(|lost| now.since(lost) >= FALLBACK_TIMEOUT);
+        let slot = now.as_micros() / FALLBACK_SLOT.as_micros() as u64;
+        let draw = stable_hash(&[&slot.to_be_bytes(), &self.tiebreak.to_be_bytes()]);
+        is_lost && draw % (self.size() as u64) < FALLBACK_CANDIDATES
     }
 
     /// Whether this member's aggregator asks the source in vain. If the member left it alone then, none would follow it until another is
     /// drawn that is answered; sums don't tell, since they count the member itself among those that reach it.
-    fn is_aggregator_turned_away(&self, now: Timestamp) -> bool {
+    fn has_aggregator_lost_source(&self, now: Timestamp) -> bool {
         let Role::Member(aggregator) = self.role else { return false };
         let mut fresh = self.fresh_peers(now);
         fresh.any(|peer| peer.id.address == aggregator && peer.contact == SourceContact::Lost)
@@ -140,30 +141,30 @@
 
     /// What is known of the peers beside this router.
     pub fn peer_capacity(&self) -> PeerCapacity {
-        self.others
+        self.peer_capacity
     }
 
-    pub(super) fn count_others(&self, now: Timestamp, own: &OwnState) -> PeerCapacity {
-        let life = if self.role == Role::Mesh { FIGURES_LIFE } else { self.peer_life() };
+    pub(super) fn measure_peer_capacity(&self, now: Timestamp, own: &OwnState) -> PeerCapacity {
+        let ttl = if self.role == Role::Mesh { STATS_TTL } else { self.peer_ttl() };
         let peers = || {
-            let heard = self.peers.values().filter(|peer| now.since(peer.heard) <= life);
-            heard.map(|peer| &peer.state)
+            let recent = self.peers.values().filter(|peer| now.since(peer.last_seen) <= ttl);
+            recent.map(|peer| &peer.state)
         };
         let all = peers().count().max(1) as f64;
-        let part = |is_counted: &dyn Fn(&RouterState) -> bool| {
+        let fraction = |is_counted: &dyn Fn(&RouterState) -> bool| {
             peers().filter(|state| is_counted(state)).count() as f64 / all
         };
         let in_zone = || peers().filter(|state| state.zone == own.zone);
         let shedding = in_zone().filter(|state| state.phase == RouterPhase::Shedding).count();
-        let (in_zone, shedding) = match self.held.get(&FiguresSource::Fleet(0)) {
+        let (in_zone, shedding) = match self.held.get(&StatsSource::Fleet(0)) {
             Some(held) => (held.routers - 1, held.shedding),
             None => (in_zone().count(), shedding),
         };
         PeerCapacity {
             in_zone,
             shedding,
-            larger: part(&|state| state.processor > own.processor * MUCH_MORE),
-            smaller: part(&|state| state.processor * MUCH_MORE < own.processor),
+            larger: fraction(&|state| state.processor > own.processor * MUCH_LARGER_RATIO),
+            smaller: fraction(&|state| state.processor * MUCH_LARGER_RATIO < own.processor),
         }
     }
 
@@ -171,8 +172,8 @@
     /// then one among all, each by its processor. `draws` are uniform in 0..1. A peer known to have a newer configuration would
     /// take none; one that was last heard with an older one may have this router's by now.
     pub fn offload_targets(&self, own: &OwnState, draws: (f64, f64)) -> Vec<SocketAddr> {
-        let in_zone = || self.takers(own).filter(|state| state.zone == own.zone);
-        let larger = in_zone().filter(|state| state.processor > own.processor * MUCH_MORE);
+        let in_zone = || self.offload_candidates(own).filter(|state| state.zone == own.zone);
+        let larger = in_zone().filter(|state| state.processor > own.processor * MUCH_LARGER_RATIO);
         let first = draw_by_processor(larger, draws.0);
         let second = draw_by_processor(in_zone(), draws.1).filter(|second| Some(*second) != first);
         first.into_iter().chain(second).collect()
@@ -186,27 +187,27 @@
         is_near: impl Fn(&str) -> bool,
         draw: f64,
     ) -> Option<SocketAddr> {
-        let peers = self.takers(own).filter(|state| state.zone != own.zone);
+        let peers = self.offload_candidates(own).filter(|state| state.zone != own.zone);
         draw_by_processor(peers.filter(|state| is_near(&state.zone)), draw)
     }
 
     /// Peers that take callers and may have this router's configuration in force.
-    fn takers(&self, own: &OwnState) -> impl Iterator<Item = &RouterState> {
+    fn offload_candidates(&self, own: &OwnState) -> impl Iterator<Item = &RouterState> {
         let configuration = own.configuration;
         let peers = self.peers.values().map(|peer| &peer.state);
         let serving = peers.filter(|state| state.phase == RouterPhase::Serving);
         serving.filter(move |state| state.configuration <= configuration)
     }
 
-    /// Age of the oldest figures that count.
-    pub fn oldest_age(&self, now: Timestamp) -> Duration {
-        self.held.values().map(|held| now.since(held.heard)).max().unwrap_or_default()
+    /// Age of the oldest stats that count.
+    pub fn oldest_stats_age(&self, now: Timestamp) -> Duration {
+        self.held.values().map(|held| now.since(held.received)).max().unwrap_or_default()
     }
 
     /// Time since the oldest rates of tenants that count were told to this router.
     pub fn rates_age(&self, now: Timestamp) -> Duration {
-        let told = self.held.values().filter(|held| held.stats.tenants.is_some());
-        told.map(|held| now.since(held.rates_heard)).max().unwrap_or_default()
+        let reported = self.held.values().filter(|held| held.stats.tenants.is_some());
+        reported.map(|held| now.since(held.rates_received)).max().unwrap_or_default()
     }
 
     fn stats(&self) -> impl Iterator<Item = &LoadStats> {
@@ -224,11 +225,13 @@
     }
 
     /// The least time between events of a service's engines that any peer observed.
-    pub fn unloaded_pace(&self, service: &str) -> Option<Duration> {
-        let told = self.stats().filter_map(|stats| stats.event_intervals.as_ref()).flatten();
-        let least =
-            told.filter(|pace| pace.service == service).map(|pace| pace.unloaded_micros).min();
-        least.map(|micros| Duration::from_micros(u64::from(micros)))
+    pub fn unloaded_event_interval(&self, service: &str) -> Option<Duration> {
+        let reported = self.stats().filter_map(|stats| stats.event_intervals.as_ref()).flatten();
+        let minimum = reported
+            .filter(|interval| interval.service == service)
+            .map(|interval| interval.unloaded_micros)
+            .min();
+        minimum.map(|micros| Duration::from_micros(u64::from(micros)))
     }
 
     /// Rates asked and given by tenant, over this router's own and the peers'.
@@ -238,10 +241,10 @@
     ) -> (HashMap<String, f64>, HashMap<String, f64>) {
         let mut asked: HashMap<String, f64> = HashMap::new();
         let mut given: HashMap<String, f64> = HashMap::new();
-        let told = self.stats().filter_map(|stats| stats.tenants.as_ref()).flatten();
-        let includes_me = self.held.values().any(|held| held.includes_me);
-        let own = own.iter().filter(|_| !includes_me);
-        for report in told.chain(own) {
+        let reported = self.stats().filter_map(|stats| stats.tenants.as_ref()).flatten();
+        let includes_self = self.held.values().any(|held| held.includes_self);
+        let own = own.iter().filter(|_| !includes_self);
+        for report in reported.chain(own) {
             *asked.entry(report.name.clone()).or_default() += f64::from(report.asked);
             *given.entry(report.name.clone()).or_default() += f64::from(report.given);
         }
@@ -252,7 +255,7 @@
     pub fn release_reports(&self, own: &[ReleaseReport]) -> Vec<ReleaseReport> {
         let mut sum = LoadStatsSum::default();
         self.stats().for_each(|stats| sum.add_releases(stats));
-        if !self.held.values().any(|held| held.includes_me) {
+        if !self.held.values().any(|held| held.includes_self) {
             own.iter().for_each(|report| sum.add_release(report));
         }
         sum.release_reports()
@@ -265,14 +268,19 @@
 
     /// Where a peer hands out something newer than what this router has, one of its own zone if there is any. A member waits a while
     /// for one in its zone.
-    pub fn newer_than(&self, now: Timestamp, own: &OwnState, draw: f64) -> Option<SocketAddr> {
+    pub fn newer_snapshot_address(
+        &self,
+        now: Timestamp,
+        own: &OwnState,
+        draw: f64,
+    ) -> Option<SocketAddr> {
         let near = self.newer_peers(now, own).filter(|peer| peer.zone == own.zone);
-        let mut asked: Vec<&RouterState> = near.collect();
-        if asked.is_empty() && self.may_ask_other_zones(now) {
-            asked = self.newer_peers(now, own).collect();
+        let mut candidates: Vec<&RouterState> = near.collect();
+        if candidates.is_empty() && self.may_ask_other_zones(now) {
+            candidates = self.newer_peers(now, own).collect();
         }
-        let picked = (draw * asked.len() as f64) as usize;
-        asked.get(picked).map(|peer| peer.snapshots)
+        let index = (draw * candidates.len() as f64) as usize;
+        candidates.get(index).map(|peer| peer.snapshots)
     }
 
     fn newer_peers(&self, now: Timestamp, own: &OwnState) -> impl Iterator<Item = &RouterState> {
@@ -286,11 +294,11 @@
 
     fn may_ask_other_zones(&self, now: Timestamp) -> bool {
         let is_member = matches!(self.role, Role::Member(_));
-        !is_member || self.behind_since.is_some_and(|since| now.since(since) >= ZONE_PATIENCE)
+        !is_member || self.behind_since.is_some_and(|since| now.since(since) >= ZONE_TIMEOUT)
     }
 
     /// Notes since when this router is behind others.
-    pub(super) fn watch_news(&mut self, now: Timestamp, own: &OwnState) {
+    pub(super) fn update_behind_since(&mut self, now: Timestamp, own: &OwnState) {
         if self.is_behind(now, own) {
             self.behind_since.get_or_insert(now);
         } else {
@@ -306,10 +314,10 @@
 ) -> Option<SocketAddr> {
     let routers: Vec<&RouterState> = routers.collect();
     let total: f64 = routers.iter().map(|state| f64::from(state.processor)).sum();
-    let mut left = draw * total;
+    let mut remaining = draw * total;
     let drawn = routers.iter().find(|state| {
-        left -= f64::from(state.processor);
-        left < 0.0
+        remaining -= f64::from(state.processor);
+        remaining < 0.0
     });
     drawn.or(routers.last()).map(|state| state.id.address)
 }
--- a/crates/routing/src/dispatch/messages.rs
+++ b/crates/routing/src/dispatch/messages.rs
@@ -104,7 +104,7 @@
     pub limit: u32,
     /// Prompt tokens that it has to read for this request.
     pub uncached: u64,
-    /// Age of the oldest figure that was used, zero if there are no peers.
+    /// Age of the oldest stat that was used, zero if there are no peers.
     pub stats_age: Duration,
     /// Back ends of the service that were not chosen from.
     pub excluded: ExcludedBackEnds,
--- a/crates/routing/src/dispatch/mod.rs
+++ b/crates/routing/src/dispatch/mod.rs
@@ -7,10 +7,10 @@
 mod announced;
 mod cold_engines;
 mod engines;
+mod event_intervals;
 mod fair_level;
 mod fleet;
 mod messages;
-mod pacing;
 mod peers;
 mod placement;
 mod preferred_engines;
@@ -44,9 +44,9 @@
 use fair_level::Shares;
 use fleet::Fleet;
 use mastbay_types::Timestamp;
-use placement::{Terms, Weighed};
+use placement::{ScoredBackEnd, SelectionCriteria};
 use preferred_engines::PreferredEngines;
-use releases::ReleasePart;
+use releases::RolloutRequest;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -67,20 +67,20 @@
     sent: Timestamp,
     predicted: Duration,
     work_ahead: PrefillWork,
-    first_event: bool,
+    has_first_event: bool,
     /// When it should be answered, if its tenant is within its share and the engine could have done it alone.
-    accountable: Option<Timestamp>,
+    service_level_due: Option<Timestamp>,
     /// Events since the pace was observed last, and when that was.
     events: u32,
     observed: Timestamp,
     /// Its part in a roll-out, if its service has one.
-    release: Option<ReleasePart>,
+    rollout_request: Option<RolloutRequest>,
 }
 
 /// Lag of the router up to which the times that it sees are taken for those of back ends.
 const TOLERATED_LAG: Duration = Duration::from_millis(15);
 /// Time for which requests under way are marked by a lag.
-const LAG_AFTERMATH: Duration = Duration::from_millis(600);
+const LAG_RECOVERY: Duration = Duration::from_millis(600);
 
 /// A router's decisions on where and when requests are served.
 #[derive(Debug)]
@@ -89,15 +89,15 @@
     engines: Engines,
     announcements: Announcements,
     /// Back ends that said that they end soon, of which others are still to be told.
-    draining_news: GossipQueue<BackEndId>,
+    draining_queue: GossipQueue<BackEndId>,
     /// How many listed back ends of each service said so.
-    draining_listed: HashMap<String, u32>,
+    draining_counts: HashMap<String, u32>,
     engine_limits: HashMap<String, EngineLimits>,
     capacity: Option<u64>,
     /// Requests a second that a cold back end of a service bears, where that is bounded.
     cold_rates: HashMap<String, f64>,
     first_events: HashMap<String, FirstEventEstimator>,
-    unloaded: HashMap<String, UnloadedEventInterval>,
+    unloaded_intervals: HashMap<String, UnloadedEventInterval>,
     preferred: PreferredEngines,
     waiting: HashMap<String, WaitingQueue>,
     running: HashMap<TicketId, Running>,
@@ -124,13 +124,13 @@
             limits,
             engines: Engines::default(),
             announcements: Announcements::default(),
-            draining_news: GossipQueue::default(),
-            draining_listed: HashMap::new(),
+            draining_queue: GossipQueue::default(),
+            draining_counts: HashMap::new(),
             engine_limits: HashMap::new(),
             capacity: None,
             cold_rates: HashMap::new(),
             first_events: HashMap::new(),
-            unloaded: HashMap::new(),
+            unloaded_intervals: HashMap::new(),
             preferred: PreferredEngines::default(),
             waiting: HashMap::new(),
             running: HashMap::new(),
@@ -169,14 +169,14 @@
         self.back_ends = changes.revision;
         for id in &changes.removed {
             self.engines.remove(id);
-            self.preferred.on_lost(id);
+            self.preferred.on_removed(id);
         }
         self.set_back_ends(now, &changes.updated);
     }
 
     /// Sets back ends as they may be used: an answer of theirs may have told more than their source knew.
     fn set_back_ends(&mut self, now: Timestamp, back_ends: &[BackEnd]) {
-        let usable = back_ends.iter().map(|told| self.announcements.as_usable(told.clone()));
+        let usable = back_ends.iter().map(|listed| self.announcements.as_usable(listed.clone()));
         let usable: Vec<BackEnd> = usable.collect();
         self.set_engines(now, &usable);
         for back_end in &usable {
@@ -212,7 +212,7 @@
             });
         }
         if !new.is_empty() {
-            self.add_told(&new);
+            self.add_reported_stats(&new);
         }
     }
 
@@ -244,7 +244,7 @@
 
     /// How many back ends were looked at until now, for requests and for messages.
     pub fn engines_examined(&self) -> u64 {
-        self.engines.looked_at()
+        self.engines.examined()
     }
 
     /// What all routers have at each back end, as far as this one knows.
@@ -257,7 +257,7 @@
         self.fleet.size()
     }
 
-    /// How this router tells its figures.
+    /// How this router tells its stats.
     pub fn role(&self) -> Role {
         self.fleet.role()
     }
@@ -311,21 +311,21 @@
     /// and not of back ends, so nothing is learned from them.
     pub fn on_lag(&mut self, now: Timestamp, lag: Duration) {
         if lag > TOLERATED_LAG {
-            self.lagging_until = now + LAG_AFTERMATH;
+            self.lagging_until = now + LAG_RECOVERY;
         }
     }
 
     /// A request's first event, or its whole answer, has come.
     pub fn on_first_event(&mut self, now: Timestamp, ticket: TicketId) {
         let Some(running) = self.running.get_mut(&ticket) else { return };
-        if std::mem::replace(&mut running.first_event, true) {
+        if std::mem::replace(&mut running.has_first_event, true) {
             return;
         }
         running.observed = now;
         let prefill = std::mem::take(&mut running.load.prefill);
         let taken = now.since(running.sent);
-        if let Some(part) = &mut running.release {
-            part.on_first_event(taken);
+        if let Some(rollout_request) = &mut running.rollout_request {
+            rollout_request.on_first_event(taken);
         }
         let (predicted, work_ahead) = (running.predicted, running.work_ahead);
         self.announcements.on_served(&running.back_end, running.sent);
@@ -335,7 +335,7 @@
         if now < self.lagging_until || engine.warmup.is_cold(now) {
             return;
         }
-        if let Some(due) = running.accountable {
+        if let Some(due) = running.service_level_due {
             engine.on_service(now, now <= due);
         }
         engine.latency_ratio =
@@ -359,7 +359,7 @@
             self.waiting.values_mut().any(|queue| queue.remove(ticket).is_some());
             return false;
         };
-        self.note_release_end(now, &running, outcome);
+        self.record_release_end(now, &running, outcome);
         match outcome {
             Ok(()) => self.announcements.on_served(&running.back_end, running.sent),
             Err(_) => self.announcements.on_not_served(&running.back_end, running.sent),
@@ -390,28 +390,28 @@
     }
 
     /// Reserves room for a request at the best back end, if one has it. A request whose time to wait
-    /// is over (`last_call`) is also placed where it is late.
+    /// is over (`is_final_attempt`) is also placed where it is late.
     fn try_place(
         &mut self,
         now: Timestamp,
         ticket: TicketId,
         demand: &Demand,
-        last_call: bool,
+        is_final_attempt: bool,
     ) -> Option<Placement> {
         let class = self.share_class(now, demand);
-        let release = self.usual_release(now, &demand.service);
-        let terms = Terms { class, last_call, release };
-        let weighed = match self.best_of_canary(now, demand, &terms) {
-            Some(weighed) => weighed,
-            None => self.best(now, demand, &terms)?,
+        let release = self.default_release(now, &demand.service);
+        let criteria = SelectionCriteria { class, is_final_attempt, release };
+        let scored = match self.best_of_canary(now, demand, &criteria) {
+            Some(scored) => scored,
+            None => self.best(now, demand, &criteria)?,
         };
-        let release = self.note_release(demand, &weighed);
-        let stats_age = self.fleet.oldest_age(now);
-        let accountable = self.accountable(demand, class, weighed.uncached);
-        let Weighed { id, predicted, uncached, work_ahead, .. } = weighed;
+        let rollout_request = self.record_release(demand, &scored);
+        let stats_age = self.fleet.oldest_stats_age(now);
+        let service_level_due = self.service_level_due(demand, class, scored.uncached);
+        let ScoredBackEnd { id, predicted, uncached, work_ahead, .. } = scored;
         let load = demand.load(uncached, class);
         let limit = self.concurrency_limit(now, self.engines.get(&id)?).round() as u32;
-        let engine = self.engines.get_busy(&id)?;
+        let engine = self.engines.get_mut_busy(&id)?;
         let running = engine.load().running;
         engine.own.add(load);
         engine.warmup.on_sent(now);
@@ -429,11 +429,11 @@
             sent: now,
             predicted,
             work_ahead,
-            first_event: false,
-            accountable,
+            has_first_event: false,
+            service_level_due,
             events: 0,
             observed: now,
-            release,
+            rollout_request,
         };
         self.running.insert(ticket, entry);
         let excluded = self.excluded(now, &demand.service);
--- a/crates/routing/src/dispatch/peers.rs
+++ b/crates/routing/src/dispatch/peers.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher tells other routers and takes from them.
 
 use super::Dispatcher;
-use super::fleet::{FiguresChange, NewPeer, OwnState};
+use super::fleet::{LoadStatsChange, NewPeer, OwnState};
 use crate::digest::{Digest, Outgoing, PeerMessage, RouterPhase, Sum};
 use crate::engine::{Engine, Load};
 use crate::load_stats::{EngineKey, EngineLoad, EngineServiceLevel, LoadStats};
@@ -15,8 +15,8 @@
         match message {
             PeerMessage::Digest(digest) => self.on_digest(now, digest),
             PeerMessage::Sum(sum) | PeerMessage::SumForZone(sum) => self.on_sum(now, sum),
-            PeerMessage::Draining(told) => {
-                for id in &told {
+            PeerMessage::Draining(ids) => {
+                for id in &ids {
                     self.on_draining_reported(now, id);
                 }
                 None
@@ -30,8 +30,8 @@
         match message {
             PeerMessage::SumForZone(sum) => self
                 .fleet
-                .passed_on(&self.limits.zone, sum)
-                .filter(|passed_on| !passed_on.targets.is_empty()),
+                .relayed_sum(&self.limits.zone, sum)
+                .filter(|relayed| !relayed.targets.is_empty()),
             PeerMessage::Digest(_)
             | PeerMessage::Sum(_)
             | PeerMessage::Ends(_)
@@ -41,27 +41,27 @@
 
     /// A peer's digest has come. Gives the peer if it was not known before.
     pub fn on_digest(&mut self, now: Timestamp, digest: Digest) -> Option<NewPeer> {
-        let heard = self.fleet.on_digest(now, digest)?;
-        self.apply(heard.change);
-        heard.new_peer
+        let update = self.fleet.on_digest(now, digest)?;
+        self.apply_stats_change(update.change);
+        update.new_peer
     }
 
     fn on_sum(&mut self, now: Timestamp, sum: Sum) -> Option<NewPeer> {
-        let heard = self.fleet.on_sum(now, sum)?;
-        self.apply(heard.change);
-        heard.new_peer
+        let update = self.fleet.on_sum(now, sum)?;
+        self.apply_stats_change(update.change);
+        update.new_peer
     }
 
     /// Forgets what peers that fell silent have at back ends.
     pub fn expire_peers(&mut self, now: Timestamp) {
         let expired = self.fleet.expire(now);
-        self.apply(expired);
+        self.apply_stats_change(expired);
     }
 
     /// This router's own digest for all others of a small fleet.
     pub fn digest(&mut self, now: Timestamp, phase: RouterPhase) -> Digest {
         let own = self.own_state(phase);
-        let stats = self.own_figures(now);
+        let stats = self.own_stats(now);
         self.fleet.digest(own, stats)
     }
 
@@ -76,9 +76,9 @@
         self.engines.retain_busy(|engine| engine.has_own_stats(now));
         let own = self.own_state(phase);
         let change = self.fleet.choose_role(now, &own);
-        self.apply(change);
-        let stats = if self.fleet.tells_slow_figures() {
-            self.own_figures(now)
+        self.apply_stats_change(change);
+        let stats = if self.fleet.includes_slow_stats() {
+            self.own_stats(now)
         } else {
             LoadStats {
                 loads: self.own_loads(now),
@@ -119,7 +119,7 @@
         loads
     }
 
-    fn own_figures(&mut self, now: Timestamp) -> LoadStats {
+    fn own_stats(&mut self, now: Timestamp) -> LoadStats {
         let service_levels =
             self.engines.busy().filter_map(|engine| engine.own_service_level(now)).collect();
         LoadStats {
@@ -127,28 +127,28 @@
             service_levels: Some(service_levels),
             tenants: Some(self.usage.reports(now)),
             heaviest: Vec::new(),
-            event_intervals: Some(self.unloaded_paces()),
+            event_intervals: Some(self.unloaded_event_intervals()),
             releases: self.rollouts.reports(),
         }
     }
 
     /// Most loads are the same from one message to the next, so only those that differ are changed.
-    fn apply(&mut self, mut change: FiguresChange) {
+    fn apply_stats_change(&mut self, mut change: LoadStatsChange) {
         if let Some(added) = &mut change.added {
             for removed in &mut change.removed {
-                drop_common_loads(&mut removed.loads, &mut added.loads);
+                remove_common_loads(&mut removed.loads, &mut added.loads);
             }
         }
         for removed in &change.removed {
-            self.change_others(removed, Engine::remove_load, Engine::remove_service_level);
+            self.update_peer_stats(removed, Engine::remove_load, Engine::remove_service_level);
         }
         if let Some(added) = &change.added {
-            self.change_others(added, Engine::add_load, Engine::add_service_level);
+            self.update_peer_stats(added, Engine::add_load, Engine::add_service_level);
         }
     }
 
     /// Adds what others told of back ends that this router did not know.
-    pub(super) fn add_told(&mut self, new: &HashSet<EngineKey>) {
+    pub(super) fn add_reported_stats(&mut self, new: &HashSet<EngineKey>) {
         for entry in self.fleet.loads().filter(|entry| new.contains(&entry.engine)) {
             if let Some(engine) = self.engines.by_key(entry.engine) {
                 engine.add_load(entry.load);
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Changes what others have at engines by each of the figures.
-    fn change_others(
+    /// Changes what others have at engines by each of the stats.
+    fn update_peer_stats(
         &mut self,
         stats: &LoadStats,
         change_load: fn(&mut Engine, Load),
@@ -182,7 +182,7 @@
 }
 
 /// Drops the entries that stand in both, each sorted by engine. What is not sorted stays, and is taken away and added again.
-fn drop_common_loads(left: &mut Vec<EngineLoad>, right: &mut Vec<EngineLoad>) {
+fn remove_common_loads(left: &mut Vec<EngineLoad>, right: &mut Vec<EngineLoad>) {
     let mut others = std::mem::take(right).into_iter().peekable();
     left.retain(|entry| {
         while let Some(earlier) = others.next_if(|other| other.engine < entry.engine) {
--- a/crates/routing/src/dispatch/preferred_engines.rs
+++ b/crates/routing/src/dispatch/preferred_engines.rs
@@ -11,13 +11,13 @@
 use std::rc::Rc;
 
 /// Prefixes remembered; past this all are forgotten and ranked anew.
-const MOST_REMEMBERED: usize = 8_192;
+const MAX_RANKINGS: usize = 8_192;
 /// Back ends kept in the order of a prefix.
-const RANKS_KEPT: usize = 6;
+const MAX_RANKED: usize = 6;
 
 /// Whose order it is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Key {
+struct RankingKey {
     service: Rc<str>,
     /// The shared prefix of a prompt.
     prefix: u64,
@@ -31,15 +31,15 @@
 #[derive(Debug, Default)]
 pub struct PreferredEngines {
     services: HashMap<String, Rc<str>>,
-    rankings: HashMap<Key, Ranking>,
+    rankings: HashMap<RankingKey, Ranking>,
 }
 
-/// The first back ends for one prefix.
+/// The ranked back ends for one prefix.
 #[derive(Debug)]
 struct Ranking {
     back_ends: Rc<[BackEndId]>,
     /// The score of the last of them, if there are as many as are kept; one with a lower score does not stand among them.
-    least_score: Option<u64>,
+    min_score: Option<u64>,
 }
 
 impl PreferredEngines {
@@ -49,7 +49,7 @@
     }
 
     /// A back end is gone: orders that hold it are made anew when they are asked for.
-    pub fn on_lost(&mut self, id: &BackEndId) {
+    pub fn on_removed(&mut self, id: &BackEndId) {
         self.rankings.retain(|_, ranking| !ranking.back_ends.contains(id));
     }
 
@@ -57,18 +57,18 @@
     pub fn on_set(&mut self, engines: &Engines, back_end: &BackEnd) {
         let Some(engine) = engines.get(&back_end.id) else { return };
         if !engine.accepts_work() {
-            return self.on_lost(&back_end.id);
+            return self.on_removed(&back_end.id);
         }
         let name_hash = ReadyEngine::of(engine).name_hash;
         self.rankings.retain(|key, ranking| {
             let score = mixed_hash(key.prefix, name_hash);
             *key.service != *back_end.service
                 || ranking.back_ends.contains(&back_end.id)
-                || ranking.least_score.is_some_and(|least| least >= score)
+                || ranking.min_score.is_some_and(|min| min >= score)
         });
     }
 
-    /// The first back ends for a demand with a prefix; the same at every router with the same list.
+    /// The ranked back ends for a demand with a prefix; the same at every router with the same list.
     pub fn of(
         &mut self,
         engines: &Engines,
@@ -76,7 +76,7 @@
         release: &VersionFilter,
         prefix: u64,
     ) -> Rc<[BackEndId]> {
-        if self.rankings.len() > MOST_REMEMBERED {
+        if self.rankings.len() > MAX_RANKINGS {
             self.rankings.clear();
         }
         let service = match self.services.get(&demand.service) {
@@ -88,35 +88,35 @@
             }
         };
         let (regions, release) = (demand.regions.clone(), release.clone());
-        match self.rankings.entry(Key { service, prefix, regions, release }) {
-            Entry::Occupied(ranking) => ranking.get().back_ends.clone(),
-            Entry::Vacant(place) => {
-                let ranking = rank(engines, demand, &place.key().release, prefix);
-                place.insert(ranking).back_ends.clone()
+        match self.rankings.entry(RankingKey { service, prefix, regions, release }) {
+            Entry::Occupied(entry) => entry.get().back_ends.clone(),
+            Entry::Vacant(entry) => {
+                let ranking = rank(engines, demand, &entry.key().release, prefix);
+                entry.insert(ranking).back_ends.clone()
             }
         }
     }
 }
 
 fn rank(engines: &Engines, demand: &Demand, release: &VersionFilter, prefix: u64) -> Ranking {
-    let is_free = demand.regions.is_unrestricted() && *release == VersionFilter::Any;
+    let is_unrestricted = demand.regions.is_unrestricted() && *release == VersionFilter::Any;
     let may_serve = |ready: &&ReadyEngine| {
-        is_free
+        is_unrestricted
             || engines.get(&ready.id).is_some_and(|engine| {
                 demand.regions.allow(engine.region.as_deref())
                     && release.allows(&engine.back_end.version)
             })
     };
-    let mut first: Vec<(u64, &BackEndId)> = Vec::with_capacity(RANKS_KEPT + 1);
+    let mut ranked: Vec<(u64, &BackEndId)> = Vec::with_capacity(MAX_RANKED + 1);
     for ready in engines.ready(&demand.service).iter().filter(may_serve) {
         let score = mixed_hash(prefix, ready.name_hash);
-        if first.len() == RANKS_KEPT && first.last().is_some_and(|(last, _)| *last >= score) {
+        if ranked.len() == MAX_RANKED && ranked.last().is_some_and(|(last, _)| *last >= score) {
             continue;
         }
-        let place = first.partition_point(|(earlier, _)| *earlier >= score);
-        first.insert(place, (score, &ready.id));
-        first.truncate(RANKS_KEPT);
+        let index = ranked.partition_point(|(earlier, _)| *earlier >= score);
+        ranked.insert(index, (score, &ready.id));
+        ranked.truncate(MAX_RANKED);
     }
-    let least_score = first.get(RANKS_KEPT - 1).map(|(score, _)| *score);
-    Ranking { back_ends: first.into_iter().map(|(_, id)| id.clone()).collect(), least_score }
+    let min_score = ranked.get(MAX_RANKED - 1).map(|(score, _)| *score);
+    Ranking { back_ends: ranked.into_iter().map(|(_, id)| id.clone()).collect(), min_score }
 }
--- a/crates/routing/src/dispatch/releases.rs
+++ b/crates/routing/src/dispatch/releases.rs
@@ -1,6 +1,6 @@
 //! Which version of a service a request goes to while a roll-out is under way, and what its answer tells of that version.
 
-use super::placement::{Terms, Weighed};
+use super::placement::{ScoredBackEnd, SelectionCriteria};
 use super::{Demand, Dispatcher, Running};
 use crate::health::Fault;
 use crate::rollout::{AnswerOutcome, RolloutRecord, Rollouts, Side, VersionFilter};
@@ -9,7 +9,7 @@
 
 /// A request's part in a roll-out.
 #[derive(Debug, Clone, Copy)]
-pub struct ReleasePart {
+pub struct RolloutRequest {
     side: Side,
     route: u32,
     /// Time to the first byte that such a request takes as a rule; a fixed time where nothing is known.
@@ -19,7 +19,7 @@
 }
 
 /// What times of plain requests are told in: they have no size that tells more.
-const PLAIN_UNIT: Duration = Duration::from_millis(1);
+const PLAIN_EXPECTED_TIME: Duration = Duration::from_millis(1);
 
 impl Dispatcher {
     /// Takes the operator's orders as they stand now.
@@ -38,7 +38,7 @@
     }
 
     /// Where requests of a service go that are no part of a canary.
-    pub(super) fn usual_release(&self, now: Timestamp, service: &str) -> VersionFilter {
+    pub(super) fn default_release(&self, now: Timestamp, service: &str) -> VersionFilter {
         self.rollouts.of(service).map(|rollout| rollout.default_filter(now)).unwrap_or_default()
     }
 
@@ -48,67 +48,68 @@
         &mut self,
         now: Timestamp,
         demand: &Demand,
-        terms: &Terms,
-    ) -> Option<Weighed> {
+        criteria: &SelectionCriteria,
+    ) -> Option<ScoredBackEnd> {
         let rollout = self.rollouts.of(&demand.service)?;
         let is_first_try = demand.tried.is_empty() && demand.suspect.is_none();
         if !is_first_try || !rollout.may_expose(now, self.limits.exposure, self.fleet.size()) {
             return None;
         }
         let VersionFilter::Except(version) = rollout.default_filter(now) else { return None };
-        let terms = Terms { release: VersionFilter::Only(version), ..terms.clone() };
-        self.best(now, demand, &terms)
+        let criteria =
+            SelectionCriteria { release: VersionFilter::Only(version), ..criteria.clone() };
+        self.best(now, demand, &criteria)
     }
 
     /// A request was placed. Gives its part in a roll-out, if its service has one.
-    pub(super) fn note_release(
+    pub(super) fn record_release(
         &mut self,
         demand: &Demand,
-        weighed: &Weighed,
-    ) -> Option<ReleasePart> {
+        scored: &ScoredBackEnd,
+    ) -> Option<RolloutRequest> {
         let rollout = self.rollouts.of_mut(&demand.service)?;
-        let side = rollout.side(&self.engines.get(&weighed.id)?.back_end);
+        let side = rollout.side(&self.engines.get(&scored.id)?.back_end);
         rollout.on_sent(side);
         let expected = match &demand.prompt {
             Some(_) => {
                 let estimator = self.first_events.get(&demand.service).copied().unwrap_or_default();
-                Duration::from_secs_f64(estimator.estimate(weighed.work_ahead) / 1e3)
+                Duration::from_secs_f64(estimator.estimate(scored.work_ahead) / 1e3)
             }
-            None => PLAIN_UNIT,
+            None => PLAIN_EXPECTED_TIME,
         };
-        Some(ReleasePart { side, route: demand.route, expected, taken: None })
+        Some(RolloutRequest { side, route: demand.route, expected, taken: None })
     }
 
     /// A request has ended.
-    pub(super) fn note_release_end(
+    pub(super) fn record_release_end(
         &mut self,
         now: Timestamp,
         running: &Running,
         outcome: Result<(), Option<Fault>>,
     ) {
-        let Some(part) = running.release else { return };
+        let Some(request) = running.rollout_request else { return };
         let Some(engine) = self.engines.get(&running.back_end) else { return };
         let Some(rollout) = self.rollouts.of_mut(&engine.back_end.service) else { return };
-        let answer = match (outcome, part.taken) {
+        let answer = match (outcome, request.taken) {
             (Err(Some(Fault::Full | Fault::Replaced | Fault::Unreachable)), _) => return,
             (Err(Some(Fault::Broken | Fault::Failure)), _) => AnswerOutcome::Failed,
             // A caller that went away says as much as the time that it had waited.
             (Ok(()) | Err(None), taken) => {
                 let taken = taken.unwrap_or_else(|| now.since(running.sent));
-                AnswerOutcome::Answered(part.in_expected_times(taken))
+                AnswerOutcome::Answered(request.relative_to_expected(taken))
             }
         };
-        rollout.on_answer(part.route, part.side, answer);
+        rollout.on_answer(request.route, request.side, answer);
     }
 }
 
-impl ReleasePart {
+impl RolloutRequest {
     /// The first byte has come.
     pub fn on_first_event(&mut self, taken: Duration) {
         self.taken.get_or_insert(taken);
     }
 
-    fn in_expected_times(&self, taken: Duration) -> f64 {
-        taken.as_secs_f64() / self.expected.max(PLAIN_UNIT).as_secs_f64()
+    fn relative_to_expected(&self, taken: Duration) -> f64 {
+        taken.as_secs_f64() / self.expected.max(PLAIN_EXPECTED_TIME).as_secs_f64()
     }
 }
--- a/crates/routing/src/dispatch/sharing.rs
+++ b/crates/routing/src/dispatch/sharing.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Time for which tenants' rates are used before they are summed again.
-const SHARES_LIFE: Duration = Duration::from_millis(50);
+const SHARES_TTL: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
     pub(super) fn share_class(&mut self, now: Timestamp, demand: &Demand) -> ShareClass {
@@ -20,19 +20,19 @@
 
     /// Notes that a request could not be placed, so that slots are left for it if its tenant is below half of
     /// its share.
-    pub(super) fn note_unplaced(&mut self, now: Timestamp, demand: &Demand) {
+    pub(super) fn record_unplaced(&mut self, now: Timestamp, demand: &Demand) {
         if demand.prompt.is_none() || self.share_class(now, demand) != ShareClass::BelowHalf {
             return;
         }
         let Some(first) = self.first_choice(now, demand) else { return };
-        if let Some(engine) = self.engines.get_busy(&first.id) {
+        if let Some(engine) = self.engines.get_mut_busy(&first.id) {
             engine.on_unplaced(now);
         }
     }
 
     /// When a request is due that counts for the service level of tenants within their share. One that an
     /// engine could not serve in time with nothing else to do says nothing about the load.
-    pub(super) fn accountable(
+    pub(super) fn service_level_due(
         &self,
         demand: &Demand,
         class: ShareClass,
@@ -40,27 +40,29 @@
     ) -> Option<Timestamp> {
         let prompt = demand.prompt.as_ref()?;
         let estimator = self.first_events.get(&demand.service).copied().unwrap_or_default();
-        let alone = Duration::from_secs_f64(estimator.estimate(prompt.prefill(uncached)) / 1e3);
+        let predicted_idle =
+            Duration::from_secs_f64(estimator.estimate(prompt.prefill(uncached)) / 1e3);
         let is_within = class != ShareClass::AboveShare;
-        let could_be_in_time = alone <= demand.objective.mul_f64(self.limits.policy.time_fraction);
+        let could_be_in_time =
+            predicted_idle <= demand.objective.mul_f64(self.limits.policy.time_fraction);
         (is_within && could_be_in_time).then_some(demand.arrived + demand.objective)
     }
 
     /// Notes that a request was refused: a miss if it counts for the service level.
-    pub(super) fn note_missed(&mut self, now: Timestamp, demand: &Demand) {
+    pub(super) fn record_missed(&mut self, now: Timestamp, demand: &Demand) {
         let class = self.share_class(now, demand);
         let Some(first) = self.first_choice(now, demand) else { return };
-        if self.accountable(demand, class, first.uncached).is_none() {
+        if self.service_level_due(demand, class, first.uncached).is_none() {
             return;
         }
-        if let Some(engine) = self.engines.get_busy(&first.id) {
+        if let Some(engine) = self.engines.get_mut_busy(&first.id) {
             engine.on_service(now, false);
         }
     }
 
     pub(super) fn shares(&mut self, now: Timestamp) -> Rc<Shares> {
         if let Some((made, shares)) = &self.shares
-            && now.since(*made) < SHARES_LIFE
+            && now.since(*made) < SHARES_TTL
         {
             return shares.clone();
         }
--- a/crates/routing/src/dispatch/source.rs
+++ b/crates/routing/src/dispatch/source.rs
@@ -25,7 +25,7 @@
 
     /// Whether the last call of any other router to the source was answered, as far as this one hears.
     pub fn others_reach_source(&self, now: Timestamp) -> bool {
-        self.fleet.does_any_reach_source(now)
+        self.fleet.any_peer_reaches_source(now)
     }
 
     /// Whether this router follows the source; the others learn from their peers.
@@ -67,6 +67,6 @@
     ///
     /// `draw`, uniform in 0..1, picks one, so that not all ask the same.
     pub fn newer_snapshot_address(&self, now: Timestamp, draw: f64) -> Option<SocketAddr> {
-        self.fleet.newer_than(now, &self.own_state(RouterPhase::Serving), draw)
+        self.fleet.newer_snapshot_address(now, &self.own_state(RouterPhase::Serving), draw)
     }
 }
--- a/crates/routing/src/dispatch/suspects.rs
+++ b/crates/routing/src/dispatch/suspects.rs
@@ -4,7 +4,7 @@
 //! own, so that they part: the next back end that ends tells one from the others. Copies of the same request meet, at whatever
 //! router they come, and end one back end where they would have ended several.
 
-use super::placement::{Terms, Weighed};
+use super::placement::{ScoredBackEnd, SelectionCriteria};
 use super::{Demand, Dispatcher};
 use crate::engine::Engine;
 use crate::fingerprint::RequestFingerprint;
@@ -19,19 +19,19 @@
         now: Timestamp,
         demand: &Demand,
         suspect: RequestFingerprint,
-        terms: &Terms,
-    ) -> Option<Weighed> {
-        let candidates = self.candidates(now, demand, &terms.release);
+        criteria: &SelectionCriteria,
+    ) -> Option<ScoredBackEnd> {
+        let candidates = self.candidates(now, demand, &criteria.release);
         let mut candidates: Vec<&Engine> = candidates.collect();
-        candidates.sort_by_cached_key(|engine| Reverse(order_at(suspect, engine.key)));
+        candidates.sort_by_cached_key(|engine| Reverse(rendezvous_score(suspect, engine.key)));
         candidates.into_iter().find_map(|engine| match &demand.prompt {
-            Some(prompt) => self.weigh_if_fit(now, engine, demand, prompt, terms),
-            None => self.weigh_if_plain_room(now, engine),
+            Some(prompt) => self.score_if_eligible(now, engine, demand, prompt, criteria),
+            None => self.score_plain_if_free(now, engine),
         })
     }
 }
 
 /// Where a suspect stands in the order of a back end: the same at every router, and another for each request.
-fn order_at(suspect: RequestFingerprint, back_end: EngineKey) -> u64 {
+fn rendezvous_score(suspect: RequestFingerprint, back_end: EngineKey) -> u64 {
     stable_hash(&[&suspect.short().to_be_bytes(), &back_end.to_bytes()])
 }
