--- a/crates/routing/src/dispatch/admission.rs
+++ b/crates/routing/src/dispatch/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: a request is placed now, waits for a while, or is refused with a time to come back.
+//! Admission control: places a request, queues it, or refuses it with a retry delay.
 
 use super::Dispatcher;
 use super::fair_level::ShareClass;
@@ -10,21 +10,20 @@
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// Waiters that fail to be placed before the rest of a queue is left for later.
+/// Failed placements after which one pass over a queue stops trying.
 const MAX_FAILED_PLACEMENTS: usize = 64;
-/// Longest time that a refused caller is told to stay away.
+/// Maximum retry delay sent to a refused caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(2_500);
-/// Time over which callers come back after a backoff, as a part of what was left of it.
+/// Interval over which callers return after a backoff, as a fraction of the remaining backoff.
 const RETURN_SPREAD_FRACTION: f64 = 0.25;
-/// Least such time.
 const MIN_RETURN_SPREAD: Duration = Duration::from_millis(100);
-/// Longest such time.
 const MAX_RETURN_SPREAD: Duration = Duration::from_secs(1);
-/// Callers follow the time to come back only up to this part of the time that they have left.
+/// Longest retry delay that callers follow, as a fraction of the time left to the deadline.
 const RETRY_AFTER_FRACTION: f64 = 0.3;
 
 impl Dispatcher {
-    /// Places a request now, lets it wait or refuses it. `draw` is uniform in 0..1.
+    /// Places, queues or refuses a request. `draw` is uniform in 0..1 and randomizes the retry
+    /// delay.
     pub fn admit(&mut self, now: Timestamp, demand: Demand, draw: f64) -> Admission {
         let has_waiters = self.waiting.get(&demand.service).is_some_and(|queue| queue.len() > 0);
         let ticket = TicketId(self.next_ticket);
@@ -38,7 +37,7 @@
         if let Some(placement) = placed {
             return Admission::Placed(placement);
         }
-        // Held and then refused would be worse: without a back end no time makes room.
+        // Without a back end that accepts requests, waiting cannot help.
         if let Some(reason) = self.unservable_reason(now, &demand) {
             return Admission::Refused(self.refusal(now, &demand, reason, draw));
         }
@@ -56,7 +55,8 @@
         Admission::Waiting(ticket)
     }
 
-    /// Lets waiters in where there is room and gives up those whose time is over.
+    /// Places waiting requests for which there is capacity and refuses those whose waiting time is
+    /// over.
     pub fn poll(&mut self, now: Timestamp, draw: f64) -> AdmissionResults {
         let mut results = Vec::new();
         let services: Vec<String> = self.waiting.keys().cloned().collect();
@@ -68,7 +68,7 @@
         results
     }
 
-    /// Whether any request waits.
+    /// Returns whether any request is waiting.
     pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
@@ -134,8 +134,9 @@
         Refusal { reason, retry_after, details: self.refusal_details(now, demand), excluded }
     }
 
-    /// Time until a back end that may serve a demand takes requests again, if all of them want none now: the first moment for callers to
-    /// come back, and some time after it, so that they don't come together. `draw` is uniform in 0..1.
+    /// Returns the time until one of the back ends that may serve `demand` accepts requests again,
+    /// if all of them are backing off. A random delay is added so that callers do not return all at
+    /// once. `draw` is uniform in 0..1.
     pub fn until_backoff_ends(
         &self,
         now: Timestamp,
@@ -168,7 +169,7 @@
         })
     }
 
-    /// Why no time for which a request may wait would make room for it, if that is so.
+    /// Returns the reason why waiting could not make capacity for the request, if there is one.
     fn unservable_reason(&self, now: Timestamp, demand: &Demand) -> Option<RefusalReason> {
         if self.engines.ready(&demand.service).is_empty() {
             return Some(RefusalReason::NoBackEnd);
@@ -181,14 +182,15 @@
         (first > self.wait_deadline(demand)).then_some(RefusalReason::BackingOff)
     }
 
-    /// The back ends that take work and may serve a demand where they are.
+    /// Returns the back ends that accept requests and are in an allowed region.
     fn allowed(&self, demand: &Demand) -> impl Iterator<Item = &Engine> {
         let ready = self.engines.ready(&demand.service).iter();
         let engines = ready.filter_map(|ready| self.engines.get(&ready.id));
         engines.filter(|engine| demand.regions.allow(engine.region.as_deref()))
     }
 
-    /// When the first back end that may serve a demand takes requests again, if all of them want none now.
+    /// Returns the earliest end of a backoff, if all back ends that may serve `demand` are backing
+    /// off.
     fn earliest_backoff_end(&self, now: Timestamp, demand: &Demand) -> Option<Timestamp> {
         if self.backing_off(now) == 0 {
             return None;
@@ -201,7 +203,7 @@
         first
     }
 
-    /// Until when a request waits: a part of its objective; one that was tried before, the whole.
+    /// Returns the end of the waiting time: a fraction of the objective, or all of it for a retry.
     fn wait_deadline(&self, demand: &Demand) -> Timestamp {
         let fraction = if demand.tried.is_empty() { self.limits.policy.wait_fraction } else { 1.0 };
         (demand.arrived + demand.objective.mul_f64(fraction)).min(demand.deadline)
--- a/crates/routing/src/dispatch/aggregation.rs
+++ b/crates/routing/src/dispatch/aggregation.rs
@@ -1,10 +1,13 @@
-//! Who adds up the stats of a large fleet.
+//! Assignment of aggregators for the load stats of a large fleet.
 //!
-//! In a small fleet each router sends its stats to all others (a mesh). What a router takes in then grows with
-//! the fleet, so in a large one each router reports to one aggregator of its zone. Aggregators send each other the
-//! sums over their members, and each sends its members the sums over the fleet: what a router takes in is constant.
-//! Everybody works out who aggregates from what it hears of the others, without an election: if views differ for a
-//! while, some members report to another router, which aggregates them as well as any.
+//! In a small fleet each router sends its stats to all others (a mesh). In a large one each router
+//! reports to an aggregator in its zone. Aggregators exchange the sums over their members, and each
+//! sends the sums over the fleet to its members, so that the traffic received by a router does not
+//! grow with the fleet.
+//!
+//! There is no election: each router derives the aggregators from its own view. While views differ,
+//! some members report to a router that is no aggregator in its own view; it aggregates their stats
+//! all the same.
 
 use crate::digest::{PeerId, RouterPhase, RouterState};
 use mastbay_types::stable_hash;
@@ -12,25 +15,25 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Other routers up to which each sends its stats to all.
+/// Maximum number of peers in a mesh.
 pub const MAX_MESH_PEERS: usize = 25;
-/// Members that one aggregator may have. At 12 reports a second from each this costs it about 2% of a core.
+/// Maximum number of members per aggregator.
 const MAX_MEMBERS: usize = 64;
 
-/// How a router tells its stats.
+/// How a router reports its load stats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Role {
-    /// To all others.
+    /// Sends them to all peers.
     #[default]
     Mesh,
-    /// To the aggregator at this address.
+    /// Sends them to the aggregator at this address.
     Member(SocketAddr),
-    /// It adds up the stats of others.
+    /// Aggregates the stats of other routers.
     Aggregator,
 }
 
 impl Role {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Mesh => "mesh",
@@ -40,30 +43,26 @@
     }
 }
 
-/// A router that may aggregate, as it is known here.
+/// A router that may become an aggregator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate<'a> {
-    /// The router.
     pub id: PeerId,
-    /// Its zone.
     pub zone: &'a str,
-    /// Whether it takes new work.
     pub phase: RouterPhase,
-    /// Its part of a processor core.
+    /// CPU share, in cores.
     pub processor: f32,
-    /// Whether it was silent lately where it should have sent sums.
+    /// Whether it failed to send expected sums.
     pub is_suspected: bool,
-    /// Its place among equals, see [`tiebreak`].
+    /// See [`tiebreak`].
     pub tiebreak: u64,
 }
 
-/// The place of a router among equals: the same in every router's view.
+/// Returns a hash that orders otherwise equal routers the same way in every router's view.
 pub fn tiebreak(router: SocketAddr) -> u64 {
     stable_hash(&[router.to_string().as_bytes()])
 }
 
 impl<'a> Candidate<'a> {
-    /// A router as it tells of itself.
     pub fn new(state: &'a RouterState, tiebreak: u64, is_suspected: bool) -> Self {
         Self {
             id: state.id,
@@ -75,7 +74,7 @@
         }
     }
 
-    /// The order in which routers are chosen: sound ones first, then those with more processor.
+    /// Sort key: unsuspected routers in the best phase first, then those with more CPU.
     fn rank(&self) -> (bool, RouterPhase, Reverse<u32>, u64, SocketAddr) {
         let milli_cores = (self.processor * 1e3) as u32;
         (self.is_suspected, self.phase, Reverse(milli_cores), self.tiebreak, self.id.address)
@@ -89,7 +88,7 @@
 }
 
 impl<'a> Aggregators<'a> {
-    /// Chooses among all routers that are known.
+    /// Chooses the aggregators from all known routers.
     pub fn choose(routers: impl Iterator<Item = Candidate<'a>>) -> Self {
         let mut zones: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
         for router in routers {
@@ -103,7 +102,8 @@
         Self { zones: chosen.collect() }
     }
 
-    /// The one that a router reports to: of several in its zone, one by rendezvous.
+    /// Returns the aggregator that a router reports to. Of several in its zone, rendezvous hashing
+    /// selects one.
     pub fn of(&self, zone: &str, router: PeerId) -> Option<PeerId> {
         let weight = |aggregator: &PeerId| {
             let (mine, theirs) = (router.address.to_string(), aggregator.address.to_string());
@@ -116,7 +116,6 @@
         aggregators.iter().copied().max_by_key(weight)
     }
 
-    /// Addresses of all of them.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.zones.values().flatten().map(|aggregator| aggregator.address)
     }
--- a/crates/routing/src/dispatch/announced.rs
+++ b/crates/routing/src/dispatch/announced.rs
@@ -1,4 +1,4 @@
-//! What back ends said of themselves in their answers.
+//! Draining and backoff announcements that back ends make in their responses.
 
 use super::Dispatcher;
 use super::messages::ExcludedBackEnds;
@@ -11,22 +11,24 @@
 use mastbay_types::{Timestamp, mixed_hash};
 use std::time::Duration;
 
-/// Back ends named in one message; each takes some 30 bytes.
+/// Back ends per message, about 30 bytes each.
 const MAX_PER_MESSAGE: usize = 128;
 
 impl Dispatcher {
-    /// A back end said in an answer to this router that it ends soon. Gives whether that is new. The other routers are announced.
+    /// Handles a draining announcement in a response to this router and announces it to peers.
+    /// Returns whether it is new.
     pub fn on_draining(&mut self, now: Timestamp, id: &BackEndId) -> bool {
         self.record_draining(now, id, TRANSMISSIONS)
     }
 
-    /// Another router tells of a back end that said so. Gives whether that is new.
+    /// Handles a draining announcement relayed by a peer. Returns whether it is new.
     pub fn on_draining_reported(&mut self, now: Timestamp, id: &BackEndId) -> bool {
         let transmissions = if self.relaying() == Relaying::All { TRANSMISSIONS } else { 0 };
         self.record_draining(now, id, transmissions)
     }
 
-    /// What a router must know that has just come: the listed back ends that said that they end soon, as many as one message holds.
+    /// Returns a message for a new peer with the listed back ends that are draining, as many as
+    /// fit.
     pub fn draining_for_new_peer(&self) -> Option<PeerMessage> {
         let draining = self.announcements.draining();
         let listed = draining.filter(|id| self.engines.get(id).is_some());
@@ -34,7 +36,7 @@
         (!announced.is_empty()).then_some(PeerMessage::Draining(announced))
     }
 
-    /// What this router tells others in one round of back ends that said that they end soon; as a rule nothing.
+    /// Returns this round's message with draining back ends for peers, if there are any.
     pub(super) fn next_draining(&mut self, now: Timestamp) -> Option<Outgoing> {
         let announced = self.draining_queue.next_round(MAX_PER_MESSAGE);
         if announced.is_empty() {
@@ -56,8 +58,8 @@
         is_new
     }
 
-    /// Counts the listed back ends of each service that said that they end soon. Done when one says so or lists change, not for each
-    /// request.
+    /// Recounts the draining back ends of each service. Called on announcements and list changes,
+    /// so that requests need not count.
     pub(super) fn count_draining(&mut self) {
         self.draining_counts.clear();
         for id in self.announcements.draining() {
@@ -66,7 +68,8 @@
         }
     }
 
-    /// The back ends of a service that are in no choice now for what they said of themselves.
+    /// Returns the numbers of a service's back ends that are excluded from selection by their
+    /// announcements.
     pub(super) fn excluded(&self, now: Timestamp, service: &str) -> ExcludedBackEnds {
         let backing_off = self.announcements.backing_off(now);
         let engines = backing_off.filter_map(|id| self.engines.get(id));
@@ -77,18 +80,19 @@
         }
     }
 
-    /// A back end turned a request away and wants no more of this router for a while. Gives whether it did not already.
+    /// Records that a back end rejected a request and asked this router to back off. Returns false
+    /// if it was backing off already.
     pub fn on_backoff(&mut self, now: Timestamp, id: &BackEndId, backoff: Duration) -> bool {
         self.announcements.on_backoff(now, id, backoff)
     }
 
-    /// How many back ends want no requests of this router now.
+    /// Returns the number of back ends that are backing off for this router.
     pub fn backing_off(&self, now: Timestamp) -> usize {
         self.announcements.backing_off(now).count()
     }
 
-    /// What speaks against a request that was placed at a back end and is about to be sent there. Since it was placed, the back end may
-    /// have begun to leave, or have asked for a backoff.
+    /// Returns the fault to report instead of sending a placed request, if its back end has stopped
+    /// accepting requests or asked for a backoff since the placement.
     pub fn fault_before_send(&self, now: Timestamp, id: &BackEndId) -> Option<Fault> {
         if !self.engines.get(id).is_some_and(Engine::accepts_work) {
             return Some(Fault::Replaced);
--- a/crates/routing/src/dispatch/cold_engines.rs
+++ b/crates/routing/src/dispatch/cold_engines.rs
@@ -1,4 +1,4 @@
-//! Cold engines: which of them this router may send to.
+//! Cold engines and the routers that may send to them.
 
 use super::Dispatcher;
 use crate::back_end::BackEndId;
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time for which the list of cold engines at which this router holds a part of the allowance is used.
+/// Time for which the list of held cold engines is reused.
 const HELD_COLD_TTL: Duration = Duration::from_millis(50);
 
-/// Cold engines at which this router holds a part of the allowance, at one moment.
+/// Cold engines for which this router holds part of the allowance, at the time `listed`.
 #[derive(Debug, Clone, Default)]
 pub struct HeldColdEngines {
     listed: Timestamp,
@@ -19,8 +19,8 @@
 }
 
 impl Dispatcher {
-    /// Whether an engine may get one more request of this router: it is warm, or this router holds a part of the
-    /// allowance of a cold one and has not used it up.
+    /// Returns whether this router may send one more request to an engine: it is warm, or this
+    /// router holds unused allowance for it.
     pub(super) fn accepts_more(&self, now: Timestamp, engine: &Engine) -> bool {
         if !engine.warmup.is_cold(now) {
             return true;
@@ -33,8 +33,9 @@
         }
     }
 
-    /// Cold engines at which this router holds a part of the allowance. Few routers may send there, so these serve
-    /// requests whose prefix belongs elsewhere too, or most of the allowance would go unused.
+    /// Returns the cold engines for which this router holds part of the allowance. They also serve
+    /// requests whose prefix is preferred elsewhere; otherwise most of the allowance would go
+    /// unused.
     pub(super) fn held_cold_engines(&mut self, now: Timestamp, service: &str) -> Rc<[BackEndId]> {
         if !self.cold_rates.contains_key(service) {
             return Rc::default();
@@ -50,7 +51,8 @@
         self.held_cold.engines.clone()
     }
 
-    /// How the allowance of an engine is held while it is cold; nothing if it needs none.
+    /// Returns how the allowance of an engine is divided while it is cold; `None` if the service
+    /// has no bound.
     fn holders(&self, engine: &Engine) -> Option<Holders> {
         let rate = self.cold_rates.get(&engine.back_end.service)?;
         let allowance = self.limits.warmup.allowance(*rate);
--- a/crates/routing/src/dispatch/engines.rs
+++ b/crates/routing/src/dispatch/engines.rs
@@ -1,9 +1,7 @@
-//! The back ends that a router knows, with what is needed to find some of them without looking at all.
+//! The back ends known to a router, with indexes by key, by service and by own load.
 //!
-//! A fleet may have ten thousand back ends, of which a router uses some dozens in a minute. So what is done for each request or each
-//! round of messages goes by an index: those that take work by service, and those at which this router has anything. What looks at all
-//! is counted: 125 rounds in ten seconds over 10,000 back ends took 0.4 s of a router's processor time, a third of what the smallest
-//! machines have.
+//! Work per request or per round of messages goes through an index, so that its cost does not grow
+//! with the number of back ends. The number of examined back ends is counted to verify this.
 
 use crate::back_end::{BackEnd, BackEndId};
 use crate::engine::Engine;
@@ -12,41 +10,40 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A back end that takes work.
+/// A back end that accepts requests.
 #[derive(Debug, Clone)]
 pub struct ReadyEngine {
-    /// Its name.
     pub id: BackEndId,
-    /// A hash of its name, the same for all its lives.
+    /// Hash of the name, the same for all incarnations.
     pub name_hash: u64,
 }
 
-/// Back ends by name, by service and by whether this router has anything there.
+/// All known back ends and their indexes.
 #[derive(Debug, Default)]
 pub struct Engines {
     all: BTreeMap<BackEndId, Engine>,
     ids: HashMap<EngineKey, BackEndId>,
-    /// Those that take work, by service, sorted by name.
+    /// Back ends that accept requests by service, sorted by ID.
     ready: HashMap<String, Vec<ReadyEngine>>,
-    /// Those with stats of this router's own to tell.
+    /// Back ends for which this router has stats to report.
     busy: BTreeSet<BackEndId>,
     examined: Cell<u64>,
 }
 
 impl Engines {
-    /// One of them.
     pub fn get(&self, id: &BackEndId) -> Option<&Engine> {
         self.count_examined(1);
         self.all.get(id)
     }
 
-    /// One of them, to change what is known of it; whether it takes work is changed by [`Self::set`] alone.
+    /// Returns a back end for updates that do not affect whether it accepts requests; for these use
+    /// [`Self::set`].
     pub fn get_mut(&mut self, id: &BackEndId) -> Option<&mut Engine> {
         self.count_examined(1);
         self.all.get_mut(id)
     }
 
-    /// The same, for something of this router's own that is to be told to others.
+    /// Returns a back end for updates of this router's stats and marks it as having some to report.
     pub fn get_mut_busy(&mut self, id: &BackEndId) -> Option<&mut Engine> {
         self.count_examined(1);
         let engine = self.all.get_mut(id)?;
@@ -56,42 +53,42 @@
         Some(engine)
     }
 
-    /// One of them by its name in messages.
+    /// Returns a back end by its key in messages between routers.
     pub fn by_key(&mut self, key: EngineKey) -> Option<&mut Engine> {
         self.count_examined(1);
         self.all.get_mut(self.ids.get(&key)?)
     }
 
-    /// All of them.
     pub fn all(&self) -> impl Iterator<Item = &Engine> {
         self.count_examined(self.all.len());
         self.all.values()
     }
 
-    /// The names of all of them.
+    /// Returns the IDs of all back ends.
     pub fn ids(&self) -> impl Iterator<Item = &BackEndId> {
         self.count_examined(self.all.len());
         self.all.keys()
     }
 
-    /// Those of a service that take work, sorted by name.
+    /// Returns the back ends of a service that accept requests, sorted by ID.
     pub fn ready(&self, service: &str) -> &[ReadyEngine] {
         self.ready.get(service).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Those with stats of this router's own.
+    /// Returns the back ends for which this router may have stats to report.
     pub fn busy(&self) -> impl Iterator<Item = &Engine> {
         self.count_examined(self.busy.len());
         self.busy.iter().filter_map(|id| self.all.get(id))
     }
 
-    /// Those have nothing more to tell for which `has_stats` is not so.
+    /// Removes those for which `has_stats` is false from the busy ones.
     pub fn retain_busy(&mut self, has_stats: impl Fn(&Engine) -> bool) {
         let all = &self.all;
         self.busy.retain(|id| all.get(id).is_some_and(&has_stats));
     }
 
-    /// Sets what is known of a back end. `complete` gets it as its source tells it now, if it was known, and gives all of it.
+    /// Adds or updates a back end. `complete` receives the known state merged with `back_end`, or
+    /// `None` for a new back end, and returns the state to store.
     pub fn set(
         &mut self,
         now: Timestamp,
@@ -106,7 +103,6 @@
         self.all.insert(id, engine);
     }
 
-    /// Forgets one of them.
     pub fn remove(&mut self, id: &BackEndId) {
         let Some(engine) = self.all.remove(id) else { return };
         if self.ids.get(&engine.key) == Some(id) {
@@ -116,19 +112,19 @@
         self.remove_ready(&engine);
     }
 
-    /// Changes all of them, and whether they take work.
+    /// Updates all back ends and rebuilds the index of those that accept requests.
     pub fn change_all(&mut self, change: impl Fn(&mut Engine)) {
         self.count_examined(self.all.len());
         self.ready.clear();
         self.all.values_mut().for_each(change);
-        // In order of their names, so each is added at the end.
+        // Values are sorted by ID, so appending keeps the index sorted.
         for engine in self.all.values().filter(|engine| engine.accepts_work()) {
             let ready = self.ready.entry(engine.back_end.service.clone()).or_default();
             ready.push(ReadyEngine::of(engine));
         }
     }
 
-    /// How many back ends were looked at until now. What a request or a round adds does not grow with their number.
+    /// Returns the number of back ends examined so far.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
@@ -158,7 +154,7 @@
 }
 
 impl ReadyEngine {
-    /// How a back end stands in the index.
+    /// Creates the index entry of a back end.
     pub fn of(engine: &Engine) -> Self {
         let id = engine.back_end.id.clone();
         Self { name_hash: stable_hash(&[id.name.as_bytes()]), id }
--- a/crates/routing/src/dispatch/event_intervals.rs
+++ b/crates/routing/src/dispatch/event_intervals.rs
@@ -1,4 +1,4 @@
-//! What the events of streams tell of the pace of engines, and the concurrency limits that follow.
+//! Event intervals observed on streams, and the concurrency limits derived from them.
 
 use super::{Dispatcher, TicketId};
 use crate::back_end::BackEndId;
@@ -8,7 +8,7 @@
 use mastbay_types::Timestamp;
 
 impl Dispatcher {
-    /// `count` events of a request's stream have come.
+    /// Records `count` events of a request's stream.
     pub fn on_events(&mut self, now: Timestamp, ticket: TicketId, count: u32) {
         let Some(running) = self.running.get_mut(&ticket) else { return };
         running.events += count;
@@ -38,7 +38,7 @@
         self.adjust_limit(now, &back_end);
     }
 
-    /// Moves the concurrency limit of an engine that has just been observed.
+    /// Adjusts an engine's concurrency limit after a new observation.
     pub(super) fn adjust_limit(&mut self, now: Timestamp, id: &BackEndId) {
         let Some(engine) = self.engines.get(id) else { return };
         let load = self.engine_load(now, engine);
@@ -48,9 +48,10 @@
         engine.limit.adjust(now, load, agreed, in_use, slots);
     }
 
-    /// How loaded an engine is, 1 where the limit should stay. The accepted slowdown is lower while tenants
-    /// within their share miss their objective too often. Below it, an engine has capacity left, and holding
-    /// others back would help nobody: the misses have another cause, a fault or a restart.
+    /// Returns an engine's load relative to the accepted one; at 1 the concurrency limit is
+    /// unchanged. The accepted slowdown is lower while tenants within their share miss their
+    /// objective too often. Below it the engine has spare capacity, so the misses have another
+    /// cause and a lower limit would not help.
     fn engine_load(&self, now: Timestamp, engine: &Engine) -> f64 {
         let policy = &self.limits.policy;
         let misses = engine.miss_rate(now) / policy.accepted_misses;
@@ -58,8 +59,8 @@
         self.slowdown(engine).map_or(misses, |slowdown| slowdown / accepted)
     }
 
-    /// The time between events of an engine's streams, in times of the least that any router observed at
-    /// the service; nothing for streams too short to tell.
+    /// Returns the ratio of an engine's event interval to the lowest one that any router observed
+    /// for the service. `None` if its streams are too short to measure.
     fn slowdown(&self, engine: &Engine) -> Option<f64> {
         let interval = engine.limit.event_interval()?;
         let service = &engine.back_end.service;
@@ -68,7 +69,7 @@
         Some(interval.as_secs_f64() / minimum.as_secs_f64().max(f64::MIN_POSITIVE))
     }
 
-    /// The least time between events of each service that this router observed.
+    /// Returns the lowest event interval that this router observed for each service.
     pub(super) fn unloaded_event_intervals(&self) -> Vec<ServiceEventInterval> {
         let observed = self.unloaded_intervals.iter().filter_map(|(service, interval)| {
             let unloaded_micros = u32::try_from(interval.minimum()?.as_micros()).ok()?;
--- a/crates/routing/src/dispatch/fair_level.rs
+++ b/crates/routing/src/dispatch/fair_level.rs
@@ -1,36 +1,38 @@
-//! Tenants' rates over the fleet, the fair level that follows, and the order of waiters.
+//! Tenant rates over the fleet, the resulting max-min fair level, and the order of waiting
+//! requests.
 
 use crate::policy::FairCapacity;
 use crate::shares::water_level;
 use crate::waiting::{Waiter, WaitingOrder};
 use std::collections::HashMap;
 
-/// Part of the fair share from which on others are left capacity before a tenant gets more.
+/// Fraction of the fair level up to which a tenant has precedence.
 const PRECEDENCE_FRACTION: f64 = 0.5;
 
-/// How much of its max-min fair share of the capacity a tenant is given.
+/// A tenant's usage relative to its max-min fair share of the capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShareClass {
-    /// Under half of the fair share.
+    /// Up to half of the fair share.
     BelowHalf,
-    /// From half of the fair share up to it.
+    /// Above half of the fair share, up to all of it.
     BelowShare,
-    /// More than the fair share.
+    /// Above the fair share.
     AboveShare,
 }
 
-/// Tenants' rates over the fleet and the fair level.
+/// Tenant rates over the fleet and the resulting fair level.
 #[derive(Debug)]
 pub struct Shares {
     asked: HashMap<String, f64>,
     given: HashMap<String, f64>,
-    /// The most that a tenant is given before others go first, in tokens a second.
+    /// Service per tenant above which other tenants have precedence, in tokens per second.
     pub fair_level: f64,
 }
 
 impl Shares {
-    /// The shares that follow from rates asked and given by tenant. What is given shows what engines
-    /// really make; the capacity of the configuration is a guess.
+    /// Calculates the fair level from the rates requested and given by tenant. `capacity` is the
+    /// declared one, an estimate; with [`FairCapacity::Served`] a higher total given rate replaces
+    /// it.
     pub fn new(
         asked: HashMap<String, f64>,
         given: HashMap<String, f64>,
@@ -50,18 +52,17 @@
         Self { asked, given, fair_level }
     }
 
-    /// Service that a tenant asks for, in tokens a second. What its callers ask for on connections that are closed unread is
-    /// not part of it.
+    /// Returns the service that a tenant requests, in tokens per second. Connections closed unread
+    /// are not included.
     pub fn asked(&self, tenant: &str) -> f64 {
         self.asked.get(tenant).copied().unwrap_or(0.0)
     }
 
-    /// Service given to a tenant, in tokens a second.
+    /// Returns the service given to a tenant, in tokens per second.
     pub fn given(&self, tenant: &str) -> f64 {
         self.given.get(tenant).copied().unwrap_or(0.0)
     }
 
-    /// How much of its share a tenant is given.
     pub fn class(&self, tenant: &str) -> ShareClass {
         let given = self.given(tenant);
         if given > self.fair_level {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The place of a waiter in the order.
+    /// Returns the sort key of a waiting request.
     pub fn order(&self, waiter: &Waiter) -> WaitingOrder {
         let tenant = waiter.demand.tenant.as_deref();
         WaitingOrder {
--- a/crates/routing/src/dispatch/fleet/mod.rs
+++ b/crates/routing/src/dispatch/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The other routers: who is there, and what they tell of engines, tenants and the source.
+//! The other routers of the fleet and the stats that they report.
 
 mod role;
 mod roster;
@@ -20,68 +20,62 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time between two rounds of messages.
+/// Interval between rounds of messages.
 pub const ROUND_PERIOD: Duration = Duration::from_millis(80);
-/// Silence after which stats no longer count: several rounds, so that single datagrams may be lost.
+/// Age at which received stats expire: several rounds, because datagrams may be lost.
 const STATS_TTL: Duration = Duration::from_millis(700);
-/// Least silence after which a peer no longer counts as a router that may spend budget.
+/// Minimum silence after which a peer expires and no longer counts as a router that spends retry
+/// budget.
 const MIN_PEER_TTL: Duration = Duration::from_secs(12);
-/// Heartbeats that may be lost before a peer is taken as gone.
+/// Consecutive lost heartbeats after which a peer expires.
 const HEARTBEATS_PER_TTL: u32 = 3;
-/// Heartbeats that a router of a large fleet sends in a round.
+/// Heartbeats that a router of a large fleet sends per round.
 const HEARTBEATS_PER_ROUND: usize = 2;
-/// Time without any router that reaches the source after which members try it: a failed call is repeated meanwhile.
-/// Without stand-ins a source that turned away three aggregators left 62 routers without any change for 9 s, by their
-/// logs.
+/// Time without any router reaching the source after which members try to. Leaves time for a failed
+/// call to be repeated.
 const FALLBACK_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for which a router is not hellos_sent again: it may be about to answer.
+/// Time after a hello during which no other one is sent to the same router.
 const HELLO_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// What a router tells of itself beside its stats.
+/// A router's own state as sent with every message, apart from its stats.
 #[derive(Debug, Clone)]
 pub struct OwnState {
-    /// Its zone.
     pub zone: String,
-    /// Whether it takes new callers.
     pub phase: RouterPhase,
-    /// Its part of a processor core.
+    /// CPU share, in cores.
     pub processor: f32,
-    /// What it knows of the source.
     pub contact: SourceContact,
     /// Version of its configuration, 0 if none.
     pub configuration: u64,
-    /// Revision of its back ends, the least if none.
+    /// Revision of its back ends, the lowest if none.
     pub back_ends: Revision,
-    /// Revision of its evacuated zones, the least if none.
+    /// Revision of its evacuated zones, the lowest if none.
     pub evacuations: Revision,
-    /// Revision of the orders for roll-outs that it knows, the least if none.
+    /// Revision of its roll-out orders, the lowest if none.
     pub rollouts: Revision,
 }
 
-/// Figures that no longer count, and those that do from now on.
+/// Stats to subtract from and to add to the engines' peer load.
 #[derive(Debug, Default)]
 pub struct LoadStatsChange {
-    /// What no longer counts.
     pub removed: Vec<LoadStats>,
-    /// What counts now.
     pub added: Option<LoadStats>,
 }
 
-/// What became of a digest or a sum.
+/// The result of a received digest or sum.
 #[derive(Debug)]
 pub struct ReceivedUpdate {
-    /// What it changes.
     pub change: LoadStatsChange,
-    /// Its sender, if it was not known before.
+    /// The sender, if it was not known before.
     pub new_peer: Option<NewPeer>,
 }
 
-/// A router that was heard for the first time.
+/// A peer from which the first message has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NewPeer {
     /// Its digest address.
     pub address: SocketAddr,
-    /// Whether it is to be hellos_sent: it may not know this router.
+    /// Whether to send it a hello, since it may not know this router.
     pub needs_hello: bool,
 }
 
@@ -89,81 +83,82 @@
 struct Peer {
     last_seen: Timestamp,
     state: RouterState,
-    /// It sent no sums although this router reported to it, and was not heard since.
+    /// Set when an expected aggregator sends no sums, until its next message.
     is_suspected: bool,
-    /// Its place among equals.
+    /// See [`tiebreak`].
     tiebreak: u64,
 }
 
-/// Whose stats are held here.
+/// The origin of received stats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum StatsSource {
-    /// One router's own.
+    /// A single router.
     Router(SocketAddr),
-    /// Those of an aggregator and its members, at one part of the engines.
+    /// An aggregator and its members, for one part of the engines.
     Members(SocketAddr, u32),
-    /// Those of the whole fleet, as this router's aggregator tells them, at one part of the engines.
+    /// The whole fleet, as summed by this router's aggregator, for one part of the engines.
     Fleet(u32),
 }
 
 #[derive(Debug)]
 struct HeldStats {
     received: Timestamp,
-    /// When the rates of tenants among them were told last; most messages leave them out.
+    /// When tenant rates were received last; most messages omit them.
     rates_received: Timestamp,
-    /// The message that told them last.
+    /// Identifies the message received last.
     last_message: IncludedDigest,
     stats: LoadStats,
-    /// Parts into which the sender has split its stats.
+    /// Number of parts that the sender splits its stats into.
     parts: u32,
     source_answers: bool,
-    /// Routers whose stats these are, and those of them that shed.
+    /// Number of routers covered, and how many of them are shedding.
     routers: usize,
     shedding: usize,
-    /// Whether this router's own stats are part of them.
+    /// Whether this router's own stats are included.
     includes_self: bool,
 }
 
-/// What this router knows of the others.
+/// A router's view of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
     me: PeerId,
-    /// This router's place among equals.
+    /// See [`tiebreak`].
     tiebreak: u64,
     snapshots: SocketAddr,
     sequence: u64,
     round: u64,
     role: Role,
     peers: BTreeMap<SocketAddr, Peer>,
-    /// Routers among which duties are shared out.
+    /// Routers among which duties are divided.
     roster: BTreeMap<SocketAddr, RosterEntry>,
-    /// Whether the settings name any other router; taken as so until the first round tells.
+    /// Whether other routers are configured as seeds; assumed until the first round.
     has_seeds: bool,
     held: BTreeMap<StatsSource, HeldStats>,
-    /// Routers that should send sums to this one, and when they did last, or else since when they should.
+    /// Routers expected to send sums to this one, by address, with the time of the last sum or
+    /// since when one is expected.
     expected_sums: BTreeMap<SocketAddr, Timestamp>,
-    /// When sums of the fleet came last, or else when this router became a member.
+    /// Time of the last sum over the fleet, or when this router became a member.
     last_fleet_sum: Timestamp,
     is_isolated: bool,
     /// Since when no router is known to reach the source.
     source_lost_since: Option<Timestamp>,
-    /// Since when this router reaches the source when no other did.
+    /// Since when this member follows the source as a fallback.
     fallback_since: Option<Timestamp>,
-    /// Since when peers have something newer.
+    /// Since when peers have newer state.
     behind_since: Option<Timestamp>,
     reports: VecDeque<(u64, Vec<EngineLoad>)>,
-    /// Messages of one round of its sums.
+    /// Number of messages that the sums of a round are split into.
     member_sum_parts: SumParts,
     fleet_sum_parts: SumParts,
-    /// Routers that others have advertised and that are not known.
+    /// Router addresses advertised by peers; known ones are filtered out when hellos are sent.
     advertised: BTreeSet<SocketAddr>,
-    /// When routers were hellos_sent lately.
+    /// When a hello was last sent, by router.
     hellos_sent: BTreeMap<SocketAddr, Timestamp>,
     peer_capacity: PeerCapacity,
 }
 
 impl Fleet {
-    /// A router that has heard nobody yet.
+    /// Creates a fleet without peers.
     pub fn new(me: PeerId, snapshots: SocketAddr) -> Self {
         Self {
             me,
@@ -191,7 +186,7 @@
         }
     }
 
-    /// Takes a digest; nothing for one of this router itself or one that is not newer than the last.
+    /// Handles a digest. Returns `None` for this router's own and for outdated ones.
     pub fn on_digest(&mut self, now: Timestamp, digest: Digest) -> Option<ReceivedUpdate> {
         let sender = digest.router.id;
         let last_message =
@@ -200,7 +195,7 @@
         let mut change = LoadStatsChange::default();
         let is_new_peer = self.receive_state(now, digest.router, &mut change)?;
         self.advertised.extend(digest.peers);
-        // Who is reported to aggregates, also if it would not have chosen itself.
+        // A router that members report to aggregates, even if it is no aggregator in its own view.
         let source_answers = digest.is_member && contact == SourceContact::Answered;
         let uses_stats = digest.is_member == (self.role != Role::Mesh);
         if let Some(stats) = digest.stats.filter(|_| uses_stats) {
@@ -221,15 +216,15 @@
         Some(ReceivedUpdate { change, new_peer })
     }
 
-    /// Takes an aggregator's sums: as a member those of the fleet from its own aggregator, as an aggregator
-    /// those of the others' members.
+    /// Handles an aggregator's sum: a member uses the fleet sums of its aggregator, an aggregator
+    /// the member sums of the others. Returns `None` for outdated sums.
     pub fn on_sum(&mut self, now: Timestamp, sum: Sum) -> Option<ReceivedUpdate> {
         let sender = sum.router.id;
         let last_message =
             IncludedDigest { incarnation: sender.incarnation, sequence: sum.router.sequence };
         let mut change = LoadStatsChange::default();
         let is_new_peer = self.receive_state(now, sum.router, &mut change)?;
-        // One that was passed on may come from a router that does not know this one.
+        // The sender of a relayed sum may not know this router.
         let new_peer = is_new_peer.then(|| self.record_new_peer(now, sender.address));
         let source = match (sum.scope, self.role) {
             (SumScope::Members, Role::Aggregator) => {
@@ -274,12 +269,11 @@
         Some(ReceivedUpdate { change, new_peer })
     }
 
-    /// Notes that a router was heard for the first time.
     fn record_new_peer(&mut self, now: Timestamp, address: SocketAddr) -> NewPeer {
         NewPeer { address, needs_hello: self.hellos_sent.insert(address, now).is_none() }
     }
 
-    /// Notes a peer's state. Gives whether it was not known; nothing if the state is no news.
+    /// Stores a peer's state. Returns whether the peer is new, or `None` if the state is outdated.
     fn receive_state(
         &mut self,
         now: Timestamp,
@@ -307,7 +301,7 @@
         Some(is_new)
     }
 
-    /// Takes newer stats of a source. What they leave out holds on and is no change.
+    /// Stores newer stats of a source. Those omitted by the message are kept.
     fn store(&mut self, source: StatsSource, mut held: HeldStats, change: &mut LoadStatsChange) {
         change.added = Some(held.stats.clone());
         let has_tenant_rates = held.stats.has_tenant_rates();
@@ -343,13 +337,13 @@
         change.removed.extend(dropped.map(|held| held.stats));
     }
 
-    /// The loads of a report that this router has sent.
+    /// Returns the loads of this router's report with a sequence number, or of the next one kept.
     fn report(&self, sequence: u64) -> Option<&[EngineLoad]> {
         let kept = self.reports.iter().find(|(kept, _)| *kept >= sequence);
         kept.map(|(_, loads)| loads.as_slice())
     }
 
-    /// Forgets silent peers and stats that are too old.
+    /// Removes silent peers and expired stats.
     pub fn expire(&mut self, now: Timestamp) -> LoadStatsChange {
         let mut change = LoadStatsChange::default();
         let is_old = |held: &HeldStats| now.since(held.received) > STATS_TTL;
@@ -363,7 +357,7 @@
         change
     }
 
-    /// Silence after which a peer is taken as gone.
+    /// Returns the silence after which a peer expires.
     fn peer_ttl(&self) -> Duration {
         let rounds = self.peers.len().div_ceil(HEARTBEATS_PER_ROUND) as u32;
         MIN_PEER_TTL.max(ROUND_PERIOD * rounds * HEARTBEATS_PER_TTL)
--- a/crates/routing/src/dispatch/fleet/role.rs
+++ b/crates/routing/src/dispatch/fleet/role.rs
@@ -1,4 +1,4 @@
-//! How a router tells its stats: to all, to an aggregator, or as one.
+//! How a router reports its stats: to all peers, to an aggregator, or as an aggregator.
 
 use super::{FALLBACK_TIMEOUT, Fleet, LoadStatsChange, OwnState, StatsSource};
 use crate::dispatch::aggregation::{Aggregators, Candidate, MAX_MESH_PEERS, Role};
@@ -6,13 +6,13 @@
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// Silence of an aggregator after which its members turn to another: three rounds may be lost.
+/// Silence after which an expected aggregator is suspected: three lost rounds.
 const AGGREGATOR_TIMEOUT: Duration = Duration::from_millis(240);
-/// Time without any sum of the fleet after which a member takes itself as cut off from the others.
+/// Time without a fleet sum after which a member counts as isolated.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Fleet {
-    /// Works out how this router tells its stats from now on.
+    /// Updates this router's role and everything that depends on it.
     pub fn choose_role(&mut self, now: Timestamp, own: &OwnState) -> LoadStatsChange {
         self.suspect_silent_aggregators(now);
         let role = self.next_role(own);
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Drops what `next`, if it is another role, does not hear any more. A new aggregator keeps the last sums of the
-    /// fleet until others send it theirs, and what its members have begun to report.
+    /// Drops stats that the next role does not receive any more. A new aggregator keeps the last
+    /// fleet sums until the others' sums replace them, and the reports of its members.
     fn drop_stats_of_other_role(&mut self, next: Role) -> LoadStatsChange {
         let mut change = LoadStatsChange::default();
         match (self.role, next) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sums are expected_sums from those who should aggregate: a member's own aggregator, all others of an aggregator.
+    /// Members expect sums from their aggregator; aggregators expect them from all others.
     fn update_expected_sums(&mut self, now: Timestamp, own: &OwnState) {
         let expected = match self.role {
             Role::Mesh => Vec::new(),
@@ -85,7 +85,7 @@
             .collect();
     }
 
-    /// Routers of the fleet, as many as any router knows.
+    /// Returns the largest fleet size, in routers, that this router or any of its peers knows of.
     pub fn size(&self) -> usize {
         let reported = self.peers.values().map(|peer| peer.state.routers as usize).max();
         self.routers().max(reported.unwrap_or(0))
@@ -106,7 +106,7 @@
         }
     }
 
-    /// All routers as candidates to aggregate.
+    /// Returns all routers, including this one, as candidates for aggregators.
     fn candidates<'a>(&'a self, own: &'a OwnState) -> impl Iterator<Item = Candidate<'a>> {
         let peers = self.peers.values();
         let peers = peers.map(|peer| Candidate::new(&peer.state, peer.tiebreak, peer.is_suspected));
@@ -121,7 +121,6 @@
         peers.chain([me])
     }
 
-    /// How this router tells its stats.
     pub fn role(&self) -> Role {
         self.role
     }
--- a/crates/routing/src/dispatch/fleet/roster.rs
+++ b/crates/routing/src/dispatch/fleet/roster.rs
@@ -1,7 +1,7 @@
-//! The routers among which duties are shared out by rendezvous.
+//! The routers among which duties are divided by rendezvous hashing.
 //!
-//! Silence alone removes nobody soon: a router that is cut off from this one may well go on, and if each side took
-//! over the other's duties they would be done twice.
+//! Entries outlive short silence: a router that is only unreachable from here goes on with its
+//! duties, and if another one took them over they would be done twice.
 
 use super::{Fleet, STATS_TTL};
 use crate::digest::{RouterPhase, RouterState};
@@ -9,29 +9,30 @@
 use mastbay_types::{Timestamp, stable_hash};
 use std::time::Duration;
 
-/// Silence after which a router no longer counts.
+/// Silence after which a router leaves the roster.
 const ROSTER_TTL: Duration = Duration::from_secs(600);
-/// Time after its start in which a router takes no duty: when a whole fleet starts, all know each other by then.
+/// Time after the start before a router takes on duties, so that a starting fleet discovers all its
+/// routers.
 const STARTUP_GRACE_PERIOD: Duration = Duration::from_secs(3);
-/// Part of the fleet, as large as any router knows it, that a router must know to take a duty.
+/// Fraction of the fleet that a router must know to take on duties.
 const MIN_KNOWN_FRACTION: f64 = 0.9;
 
-/// A router that takes part in sharing duties out.
+/// A router on the roster.
 #[derive(Debug, Clone, Copy)]
 pub struct RosterEntry {
     last_seen: Timestamp,
-    /// Its place among equals.
+    /// See [`tiebreak`](crate::dispatch::aggregation::tiebreak).
     tiebreak: u64,
 }
 
 impl Fleet {
-    /// Number of routers among which duties are shared out, this one included.
+    /// Returns the number of routers on the roster, including this one.
     pub fn roster_size(&self) -> usize {
         1 + self.roster.len()
     }
 
-    /// Whether this router is among the first `count` in rendezvous order for an engine. One that knows too few of
-    /// the others, or hears none of them, is not: it cannot tell.
+    /// Returns whether this router is among the first `count` in rendezvous order for an engine.
+    /// Returns false if it knows too few of the others, or receives from none, to tell.
     pub fn is_among_first(&self, now: Timestamp, engine: EngineKey, count: usize) -> bool {
         if !self.knows_roster(now) {
             return false;
@@ -42,7 +43,7 @@
         ranks.filter(|rank| *rank > mine).take(count).count() < count
     }
 
-    /// A router was heard, directly.
+    /// Updates the roster from a message received directly from a router.
     pub(super) fn update_roster(&mut self, now: Timestamp, state: &RouterState, tiebreak: u64) {
         if state.phase == RouterPhase::Leaving {
             self.roster.remove(&state.id.address);
@@ -68,7 +69,7 @@
 }
 
 impl EngineKey {
-    /// The place of a router with this tiebreak in rendezvous order for the engine.
+    /// Returns the rendezvous score of a router, given its tiebreak, for the engine.
     fn rank(self, tiebreak: u64) -> u64 {
         stable_hash(&[&self.to_bytes(), &tiebreak.to_be_bytes()])
     }
--- a/crates/routing/src/dispatch/fleet/rounds.rs
+++ b/crates/routing/src/dispatch/fleet/rounds.rs
@@ -1,4 +1,4 @@
-//! The messages that a router sends.
+//! The messages that a router sends in each round.
 
 use super::{Fleet, HEARTBEATS_PER_ROUND, HeldStats, OwnState, Peer, StatsSource};
 use crate::digest::{Digest, Outgoing, PeerMessage, RouterPhase, RouterState, Sum, SumScope};
@@ -9,38 +9,35 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Rounds between two calls to seeds while the fleet is small; in a larger one, more in proportion.
+/// Rounds between contacts to seeds in a small fleet; grows in proportion to larger fleets.
 const ROUNDS_PER_SEED_CONTACT: u64 = 12;
-/// Addresses of peers passed on in one digest.
+/// Peer addresses per digest.
 const PEERS_PER_DIGEST: usize = 6;
-/// Addresses passed on to a router that was not known, so that it soon knows all.
+/// Peer addresses per hello, more than in a digest so that a new peer soon knows all.
 const PEERS_PER_HELLO: usize = 30;
-/// Unknown routers that are hellos_sent in one round. All of 300 know each other within two seconds, and what a start of
-/// the whole fleet costs each of them stays small.
+/// Maximum number of hellos per round, which bounds the cost when a whole fleet starts.
 const MAX_HELLOS_PER_ROUND: usize = 8;
-/// One digest in this many of a mesh tells of tenants and of further routers; they change slowly.
+/// Interval, in digests of a mesh, between those with tenant rates, event intervals and peer
+/// addresses.
 const FULL_DIGEST_INTERVAL: u64 = 4;
-/// One round in this many of a large fleet tells of what changes slowly.
+/// Interval, in rounds of a large fleet, between those with slowly changing stats.
 const FULL_ROUND_INTERVAL: u64 = 8;
-/// Tenants whose rates a round tells that is not full. Rates told each eighth round are up to two seconds old when they come
-/// out of the aggregators, and of two tenants above their share each in turn was given everything: 0.43 of what one was due
-/// over six seconds, in virtual time with 295 routers, and 0.74 with the rates in each round. The bound is for the size of the
-/// message: 48 tenants take about 1 KB.
+/// Tenants whose rates are sent in rounds without the slowly changing stats. With outdated rates,
+/// the shares of the heaviest tenants would oscillate. The bound limits the message size.
 pub const HEAVIEST_TENANTS: usize = 48;
-/// Engines in one message of sums: with their service_levels they take 57 bytes each, and a datagram holds 61,440.
+/// Engines per message with sums, so that a message fits a datagram of 61,440 bytes.
 const ENGINES_PER_SUM: usize = 900;
-/// Rounds in which fewer parts were enough after which there are fewer: receivers let go of all stats where the number of parts
-/// changes.
+/// Rounds with fewer parts needed after which the number of parts is halved. Each change makes
+/// receivers drop all stats.
 const ROUNDS_PER_SHRINK: u64 = 100;
-/// Reports kept until the sums that hold them come back.
+/// Recent reports kept, to subtract them from sums that include them.
 const MAX_REPORTS: usize = 16;
 
-/// Into how many messages sums are split. It follows from the engines that are told of, which are those in use, and not from all that
-/// are known: 9,998 known ones made twelve messages a round for each member, however few were in use.
+/// Number of messages that sums are split into, by the number of engines in use.
 #[derive(Debug, Clone, Copy)]
 pub struct SumParts {
     parts: u32,
-    /// The last round in which so many were needed.
+    /// Last round in which this many parts were needed.
     needed: u64,
 }
 
@@ -62,32 +59,33 @@
     }
 }
 
-/// The other aggregators that get sums in one round.
+/// The other aggregators that receive sums in one round.
 #[derive(Debug, Default)]
 struct NextAggregators {
-    /// Those of this zone, and single ones of other zones.
+    /// Those in this zone, and those that are the only one of their zone.
     direct: Vec<SocketAddr>,
-    /// One of each further zone, which passes them on.
+    /// One of each other zone with several, which relays the sums there.
     relays: Vec<SocketAddr>,
 }
 
 impl Fleet {
-    /// Whether the next round of a large fleet tells what changes slowly too.
+    /// Returns whether the next round of a large fleet includes slowly changing stats.
     fn is_full_round(&self) -> bool {
         self.round.is_multiple_of(FULL_ROUND_INTERVAL)
     }
 
-    /// Figures as the next round of a large fleet tells them.
+    /// Reduces stats to those sent in the next round of a large fleet.
     fn stats_for_round(&self, stats: LoadStats) -> LoadStats {
         if self.is_full_round() { stats } else { stats.with_heaviest_tenants(HEAVIEST_TENANTS) }
     }
 
-    /// Whether the next round tells what changes slowly; a mesh tells of engines' service_levels each time.
+    /// Returns whether the next round includes slowly changing stats. In a mesh every round does,
+    /// for the engines' service levels.
     pub fn includes_slow_stats(&self) -> bool {
         self.role == Role::Mesh || self.is_full_round()
     }
 
-    /// A digest of this router for all others; one in a few tells of tenants, event_intervals and further routers.
+    /// Returns this router's digest for all peers of a mesh.
     pub fn digest(&mut self, own: OwnState, mut stats: LoadStats) -> Digest {
         let is_full = (self.sequence + 1) % FULL_DIGEST_INTERVAL == 1;
         if !is_full {
@@ -98,12 +96,12 @@
         self.digest_with(own, Some(stats), count)
     }
 
-    /// A digest without stats.
+    /// Returns a digest without stats.
     fn heartbeat(&mut self, own: OwnState, peers: usize) -> Digest {
         self.digest_with(own, None, peers)
     }
 
-    /// The answer to a router that was not known.
+    /// Returns the digest that introduces this router to a new peer.
     pub fn hello(&mut self, own: OwnState) -> Digest {
         self.heartbeat(own, PEERS_PER_HELLO)
     }
@@ -131,14 +129,14 @@
         }
     }
 
-    /// Some peers, others each time.
+    /// Returns up to `count` peer addresses, rotating with each message.
     fn rotating_addresses(&self, count: usize) -> Vec<SocketAddr> {
         let peers: Vec<SocketAddr> = self.peers.keys().copied().collect();
         let start = (self.sequence as usize).wrapping_mul(count) % peers.len().max(1);
         peers.iter().cycle().skip(start).take(count.min(peers.len())).copied().collect()
     }
 
-    /// The messages of one round, with `stats` of this router itself.
+    /// Returns the messages of one round. `stats` are this router's own.
     pub fn next_round(
         &mut self,
         now: Timestamp,
@@ -165,7 +163,7 @@
         messages
     }
 
-    /// Greets some of the routers that were advertised and are not known.
+    /// Returns a hello for some of the unknown routers that peers advertised.
     fn next_hellos(&mut self, now: Timestamp, own: &OwnState) -> Option<Outgoing> {
         let advertised = std::mem::take(&mut self.advertised);
         let is_unknown = |address: &SocketAddr| {
@@ -177,7 +175,7 @@
         if targets.is_empty() {
             return None;
         }
-        // Each router begins elsewhere, so that not all greet the same ones.
+        // Each router starts at a different position, to spread the hellos.
         let first = self.tiebreak as usize % targets.len();
         targets.rotate_left(first);
         let remaining = targets.split_off(targets.len().min(MAX_HELLOS_PER_ROUND));
@@ -244,7 +242,7 @@
         let member_addresses: Vec<SocketAddr> = self.members().map(|(member, _)| member).collect();
         let mut messages = Vec::new();
         for sum in of_members {
-            // Zones have one aggregator each up to 64 routers: then nothing is copied to be passed on.
+            // Zones with a single aggregator need no copy for the relay.
             if !aggregators.relays.is_empty() {
                 let for_zones = PeerMessage::SumForZone(sum.clone());
                 messages.push(self.outgoing(for_zones, aggregators.relays.clone()));
@@ -259,10 +257,9 @@
         messages
     }
 
-    /// Who gets the sums of this aggregator's members in the next round. Sent to all, 4,000 messages a second went between zones with 20
-    /// aggregators in five zones, and 16,000 with 40. Another zone gets them once, at each of its aggregators in turn: one that
-    /// has died then costs the zone only its turns. Suspected ones get their own: without any they would suspect the others for their
-    /// part.
+    /// Returns the aggregators that receive the next sum over this one's members. Another zone
+    /// receives it once, through its aggregators in rotation, so that a failed one loses only some
+    /// of the sums. Suspected ones receive it directly, or they would suspect this router in turn.
     fn next_aggregators(&self, own_zone: &str) -> NextAggregators {
         let mut next = NextAggregators::default();
         let mut zones: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
@@ -286,7 +283,7 @@
         next
     }
 
-    /// Sums of an aggregator of another zone for the other aggregators of this one's zone.
+    /// Returns a relayed sum for the other aggregators of this router's zone.
     pub fn relayed_sum(&self, own_zone: &str, sum: &Sum) -> Option<Outgoing> {
         if self.role != Role::Aggregator {
             return None;
@@ -298,7 +295,7 @@
         Some(self.outgoing(PeerMessage::Sum(sum.clone()), targets))
     }
 
-    /// Messages with a sum, one for each part of the engines.
+    /// Returns messages with a sum, one for each part of the engines.
     fn sums(&mut self, own: &OwnState, scope: SumScope, sum: LoadStatsSum) -> Vec<Sum> {
         let stats = self.stats_for_round(sum.into_stats(self.is_full_round()));
         let round = self.round;
@@ -334,7 +331,7 @@
         Sum { router, scope, part, parts, stats, source_answers, shedding, included }
     }
 
-    /// The routers that report to this one.
+    /// Returns the routers that report to this one.
     fn members(&self) -> impl Iterator<Item = (SocketAddr, &HeldStats)> {
         self.held.iter().filter_map(|(source, held)| match source {
             StatsSource::Router(address) => Some((*address, held)),
@@ -342,7 +339,7 @@
         })
     }
 
-    /// Those that should aggregate, and those that do.
+    /// Returns the routers that should be aggregators and those that act as one.
     fn other_aggregators(&self) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = self.expected_sums.keys().copied().collect();
         all.extend(self.held.keys().filter_map(|source| match source {
--- a/crates/routing/src/dispatch/fleet/view.rs
+++ b/crates/routing/src/dispatch/fleet/view.rs
@@ -1,4 +1,4 @@
-//! What a router knows by its peers: how many there are, who reaches the source, what they have at engines.
+//! Queries over the peers' state and stats.
 
 use super::{FALLBACK_TIMEOUT, Fleet, OwnState, STATS_TTL, StatsSource};
 use crate::digest::{RouterPhase, RouterState};
@@ -14,39 +14,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time of a member's turn to try.
+/// Time slot in which a random subset of the members tries to reach the source.
 const FALLBACK_SLOT: Duration = Duration::from_millis(200);
-/// Members that try in one turn, in the mean: where half of them are turned away, none of this many is answered once in twenty turns.
+/// Mean number of members that try in one slot.
 const FALLBACK_CANDIDATES: u64 = 6;
-/// Time for which a member that is answered follows the source before it looks whether others do.
+/// Time for which a member whose call succeeded follows the source.
 const FALLBACK_DURATION: Duration = Duration::from_secs(5);
-/// Peers of a large fleet that are told of ends, and of back ends that drain, in a round. All of 295 routers know after 0.64 s what three
-/// of them saw, with a tenth of the datagrams lost, and after 0.72 s with three tenths lost (virtual time, `tests/quarantine.rs`).
+/// Gossip fanout per round in a large fleet.
 const GOSSIP_TARGETS: u8 = 3;
-/// Time for which a member that is behind waits for a router of its zone to have what it lacks: its aggregator asks in other zones within
-/// a round or two. Without it all routers that start fetch the whole list, 1.4 MB, from the few that have it, wherever these are.
+/// Time for which a member waits for a peer in its zone to have newer state before it asks other
+/// zones. This avoids transfers of full snapshots between zones when many routers start.
 const ZONE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How many times the processor of another a much larger router has.
+/// CPU ratio from which a router counts as much larger than another.
 const MUCH_LARGER_RATIO: f32 = 1.5;
 
 impl Fleet {
-    /// Number of routers, this one included.
+    /// Returns the number of known routers, including this one.
     pub fn routers(&self) -> usize {
         1 + self.peers.len()
     }
 
-    /// This router's place among equals.
     pub fn tiebreak(&self) -> u64 {
         self.tiebreak
     }
 
-    /// A draw of this router's life, uniform in 0..1 over the routers of the fleet, another one for each subject.
+    /// Returns a number in 0..1 that is fixed for this router's incarnation and `subject`, and
+    /// uniform over the fleet.
     pub fn draw(&self, subject: &str) -> f64 {
         let drawn = stable_hash(&[&self.me.incarnation.to_be_bytes(), subject.as_bytes()]);
         drawn as f64 / (u64::MAX as f64 + 1.0)
     }
 
-    /// Who is told of ends in a round: all peers of a mesh, a few drawn ones of a larger fleet.
+    /// Returns the gossip targets of a round: all peers in a mesh, a few selected by `draw` in a
+    /// larger fleet.
     pub fn gossip_targets(&self, draw: u64) -> Vec<SocketAddr> {
         if self.role == Role::Mesh {
             return self.peers.keys().copied().collect();
@@ -60,7 +60,8 @@
         targets
     }
 
-    /// This router's turn to probe a request: routers that know each other all give the same order.
+    /// Returns this router's position in the order for probing a request, the same at routers with
+    /// the same view.
     pub fn probe_slot(&self, request: RequestFingerprint) -> ProbeSlot {
         let draw = |address: SocketAddr| {
             stable_hash(&[&request.short().to_be_bytes(), address.to_string().as_bytes()])
@@ -70,7 +71,7 @@
         ProbeSlot { index: before as u64, routers: self.routers() as u64 }
     }
 
-    /// One peer, drawn.
+    /// Returns the peer selected by the random number `draw`.
     pub fn random_peer(&self, draw: u64) -> Option<SocketAddr> {
         let index = draw.checked_rem(self.peers.len() as u64)?;
         self.peers.keys().nth(index as usize).copied()
@@ -81,7 +82,7 @@
         fresh.map(|peer| &peer.state)
     }
 
-    /// The routers whose contact with the source this one follows closely: all in a mesh, and the other
+    /// Returns the peers whose contact with the source is up to date here: all in a mesh, the other
     /// aggregators for an aggregator.
     fn close_peers(&self, now: Timestamp) -> impl Iterator<Item = &RouterState> {
         let is_mesh = self.role == Role::Mesh;
@@ -91,20 +92,21 @@
         self.fresh_peers(now).filter(is_close)
     }
 
-    /// Whether the last call of any other router to the source was answered.
+    /// Returns whether the last call of any peer to the source was answered, by close peers and
+    /// received sums.
     pub fn is_source_answering(&self, now: Timestamp) -> bool {
         self.held.values().any(|held| held.source_answers)
             || self.close_peers(now).any(|peer| peer.contact == SourceContact::Answered)
     }
 
-    /// Whether any router that was heard lately reached the source with its last call.
+    /// Returns whether the last call of any recently seen peer to the source was answered.
     pub fn any_peer_reaches_source(&self, now: Timestamp) -> bool {
         self.is_source_answering(now)
             || self.fresh_peers(now).any(|peer| peer.contact == SourceContact::Answered)
     }
 
-    /// Whether this router follows the source: of a large fleet, only aggregators do, who is cut off, and those that
-    /// stand in for aggregators.
+    /// Returns whether this router follows the source. In a large fleet, aggregators, isolated
+    /// members and fallback members do.
     pub fn follows_source(&self, now: Timestamp, contact: SourceContact) -> bool {
         if matches!(self.role, Role::Member(_)) {
             return self.is_isolated || self.is_fallback(now);
@@ -118,8 +120,9 @@
         )
     }
 
-    /// Whether a member follows the source because no router reaches it: the source may turn away all aggregators and
-    /// serve others. Members try in turns, a few of the fleet in each, and one that is answered goes on for a while.
+    /// Returns whether a member follows the source because no router reaches it. The source may
+    /// reject all aggregators but serve others, so small random subsets of the members try in turn,
+    /// and one that succeeds continues for a while.
     fn is_fallback(&self, now: Timestamp) -> bool {
         if let Some(since) = self.fallback_since {
             return now.since(since) < FALLBACK_DURATION || self.has_aggregator_lost_source(now);
@@ -131,15 +134,15 @@
         is_lost && draw % (self.size() as u64) < FALLBACK_CANDIDATES
     }
 
-    /// Whether this member's aggregator asks the source in vain. If the member left it alone then, none would follow it until another is
-    /// drawn that is answered; sums don't tell, since they count the member itself among those that reach it.
+    /// Returns whether this member's aggregator fails to reach the source. While it does, a
+    /// fallback member continues. Sums cannot tell, since their count of routers that reach the
+    /// source includes the member itself.
     fn has_aggregator_lost_source(&self, now: Timestamp) -> bool {
         let Role::Member(aggregator) = self.role else { return false };
         let mut fresh = self.fresh_peers(now);
         fresh.any(|peer| peer.id.address == aggregator && peer.contact == SourceContact::Lost)
     }
 
-    /// What is known of the peers beside this router.
     pub fn peer_capacity(&self) -> PeerCapacity {
         self.peer_capacity
     }
@@ -168,9 +171,10 @@
         }
     }
 
-    /// Peers of this router's zone that may take connections off it: one drawn among those with much more processor,
-    /// then one among all, each by its processor. `draws` are uniform in 0..1. A peer known to have a newer configuration would
-    /// take none; one that was last heard with an older one may have this router's by now.
+    /// Returns peers in this zone that may take over connections: one among those with much more
+    /// CPU, then one among all, weighted by CPU. `draws` are uniform in 0..1. Peers with newer
+    /// configuration would reject them; peers with older configuration may have been updated since
+    /// their last message.
     pub fn offload_targets(&self, own: &OwnState, draws: (f64, f64)) -> Vec<SocketAddr> {
         let in_zone = || self.offload_candidates(own).filter(|state| state.zone == own.zone);
         let larger = in_zone().filter(|state| state.processor > own.processor * MUCH_LARGER_RATIO);
@@ -179,8 +183,8 @@
         first.into_iter().chain(second).collect()
     }
 
-    /// A peer of another zone that may take a connection off this router: one drawn by processor among those whose zone
-    /// `is_near`.
+    /// Returns a peer in another zone that may take over a connection, weighted by CPU, among zones
+    /// for which `is_near` holds.
     pub fn cross_zone_offload_target(
         &self,
         own: &OwnState,
@@ -191,7 +195,7 @@
         draw_by_processor(peers.filter(|state| is_near(&state.zone)), draw)
     }
 
-    /// Peers that take callers and may have this router's configuration in force.
+    /// Returns serving peers that may have this router's configuration in force.
     fn offload_candidates(&self, own: &OwnState) -> impl Iterator<Item = &RouterState> {
         let configuration = own.configuration;
         let peers = self.peers.values().map(|peer| &peer.state);
@@ -199,12 +203,12 @@
         serving.filter(move |state| state.configuration <= configuration)
     }
 
-    /// Age of the oldest stats that count.
+    /// Returns the age of the oldest stats in use.
     pub fn oldest_stats_age(&self, now: Timestamp) -> Duration {
         self.held.values().map(|held| now.since(held.received)).max().unwrap_or_default()
     }
 
-    /// Time since the oldest rates of tenants that count were told to this router.
+    /// Returns the age of the oldest tenant rates in use.
     pub fn rates_age(&self, now: Timestamp) -> Duration {
         let reported = self.held.values().filter(|held| held.stats.tenants.is_some());
         reported.map(|held| now.since(held.rates_received)).max().unwrap_or_default()
@@ -214,17 +218,17 @@
         self.held.values().map(|held| &held.stats)
     }
 
-    /// What the others have at engines.
+    /// Returns the peers' load at engines.
     pub fn loads(&self) -> impl Iterator<Item = &EngineLoad> {
         self.stats().flat_map(|stats| &stats.loads)
     }
 
-    /// How well the others are served at engines.
+    /// Returns the service levels of engines as observed by peers.
     pub fn service_levels(&self) -> impl Iterator<Item = &EngineServiceLevel> {
         self.stats().filter_map(|stats| stats.service_levels.as_ref()).flatten()
     }
 
-    /// The least time between events of a service's engines that any peer observed.
+    /// Returns the lowest event interval that any peer observed for a service.
     pub fn unloaded_event_interval(&self, service: &str) -> Option<Duration> {
         let reported = self.stats().filter_map(|stats| stats.event_intervals.as_ref()).flatten();
         let minimum = reported
@@ -234,7 +238,7 @@
         minimum.map(|micros| Duration::from_micros(u64::from(micros)))
     }
 
-    /// Rates asked and given by tenant, over this router's own and the peers'.
+    /// Returns the requested and the given rates by tenant, over the whole fleet.
     pub fn tenant_rates(
         &self,
         own: &[TenantReport],
@@ -251,7 +255,7 @@
         (asked, given)
     }
 
-    /// What all routers counted of roll-outs, this one's own counts among it.
+    /// Returns the roll-out counts of the whole fleet.
     pub fn release_reports(&self, own: &[ReleaseReport]) -> Vec<ReleaseReport> {
         let mut sum = LoadStatsSum::default();
         self.stats().for_each(|stats| sum.add_releases(stats));
@@ -261,13 +265,13 @@
         sum.release_reports()
     }
 
-    /// Whether any peer has something newer than this router.
+    /// Returns whether any peer has newer state than this router.
     pub fn is_behind(&self, now: Timestamp, own: &OwnState) -> bool {
         self.newer_peers(now, own).next().is_some()
     }
 
-    /// Where a peer hands out something newer than what this router has, one of its own zone if there is any. A member waits a while
-    /// for one in its zone.
+    /// Returns the snapshot address of a peer with newer state, preferably in this zone. A member
+    /// waits for one in its zone before it asks others.
     pub fn newer_snapshot_address(
         &self,
         now: Timestamp,
@@ -297,7 +301,7 @@
         !is_member || self.behind_since.is_some_and(|since| now.since(since) >= ZONE_TIMEOUT)
     }
 
-    /// Notes since when this router is behind others.
+    /// Updates since when this router is behind its peers.
     pub(super) fn update_behind_since(&mut self, now: Timestamp, own: &OwnState) {
         if self.is_behind(now, own) {
             self.behind_since.get_or_insert(now);
@@ -307,7 +311,7 @@
     }
 }
 
-/// One of some routers, drawn with their processor as weights.
+/// Selects a router at random, weighted by CPU.
 fn draw_by_processor<'a>(
     routers: impl Iterator<Item = &'a RouterState>,
     draw: f64,
--- a/crates/routing/src/dispatch/messages.rs
+++ b/crates/routing/src/dispatch/messages.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is asked and what it answers.
+//! Input and output types of the [`Dispatcher`](super::Dispatcher).
 
 use super::fair_level::ShareClass;
 use crate::back_end::{BackEnd, BackEndId};
@@ -14,59 +14,59 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Settings of a [`Dispatcher`].
+/// Settings of a [`Dispatcher`](super::Dispatcher).
 #[derive(Debug, Clone, PartialEq)]
 pub struct DispatcherLimits {
     /// The router's zone.
     pub zone: String,
     /// The regions of the back ends' zones.
     pub regions: ZoneRegions,
-    /// Time over which tenants' shares are kept.
+    /// Window over which tenants' usage is averaged.
     pub share_window: Duration,
-    /// The fleet's budget of second sends for each service.
+    /// The fleet's retry budget for each service.
     pub budget: BudgetLimits,
-    /// No burst of second sends before this moment.
+    /// No burst of retries before this time.
     pub burst_from: Timestamp,
-    /// The router's part of a processor core.
+    /// CPU share of the router, in cores.
     pub processor: f32,
-    /// What a version that is not judged yet may be sent.
+    /// Bounds on the traffic of a version whose roll-out is not evaluated yet.
     pub exposure: ExposureLimits,
-    /// How far above a cold back end's rate the fleet may go.
+    /// How far the fleet may exceed the rate of a cold back end.
     pub warmup: WarmupLimits,
-    /// Most requests that wait.
+    /// Maximum number of waiting requests of a service.
     pub most_waiting: usize,
-    /// Settings of the policies.
+    /// Placement, admission and fair-share policies.
     pub policy: Policy,
 }
 
-/// Names a request in a dispatcher, from admission to its end.
+/// Identifies a request in a dispatcher from admission to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TicketId(pub u64);
 
-/// What a request asks for.
+/// What a request requires of the back end that serves it.
 #[derive(Debug, Clone)]
 pub struct Demand {
-    /// The service.
+    /// Name of the requested service.
     pub service: String,
-    /// A hash of its route's name.
+    /// Hash of the route's name.
     pub route: u32,
-    /// Its prompt, if it is for a model.
+    /// The prompt of a request to a model; `None` for plain requests.
     pub prompt: Option<Prompt>,
-    /// When it came.
+    /// When the router received the request.
     pub arrived: Timestamp,
-    /// When it is of no more use to its caller.
+    /// When its caller has no more use for a response.
     pub deadline: Timestamp,
-    /// Time within which it should be answered.
+    /// Latency objective: the time after arrival within which the response should start.
     pub objective: Duration,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Its tenant.
+    /// The tenant, if the request has one.
     pub tenant: Option<Arc<str>>,
-    /// Regions in which it may be served.
+    /// Regions in which the request may be served.
     pub regions: AllowedRegions,
-    /// Back ends that it is not given again.
+    /// Back ends that must not receive the request again.
     pub tried: Vec<BackEndId>,
-    /// Its fingerprint, if back ends ended under it.
+    /// The request's fingerprint, if back ends have ended while serving it.
     pub suspect: Option<RequestFingerprint>,
 }
 
@@ -80,74 +80,75 @@
     }
 }
 
-/// How many back ends of a service were in no choice for what they said of themselves in answers.
+/// Numbers of a service's back ends that were excluded from selection because of their own
+/// announcements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ExcludedBackEnds {
-    /// They end soon.
+    /// Back ends that announced that they are draining.
     pub draining: u32,
-    /// They want no requests of this router for a while.
+    /// Back ends that asked this router to back off.
     pub backing_off: u32,
 }
 
-/// A back end chosen for a request.
+/// The back end selected for a request.
 #[derive(Debug, Clone)]
 pub struct Placement {
     /// The request's ticket.
     pub ticket: TicketId,
-    /// The back end.
+    /// The selected back end.
     pub back_end: BackEnd,
-    /// Time to the first event as predicted.
+    /// Predicted time to the first event.
     pub predicted: Duration,
-    /// Requests known to be there from all routers.
+    /// Requests in progress there before this one, over all routers.
     pub running: u32,
     /// Its concurrency limit, in requests.
     pub limit: u32,
-    /// Prompt tokens that it has to read for this request.
+    /// Prompt tokens that are not in its prefix cache.
     pub uncached: u64,
-    /// Age of the oldest stat that was used, zero if there are no peers.
+    /// Age of the oldest peer stats that were used; zero without peers.
     pub stats_age: Duration,
-    /// Back ends of the service that were not chosen from.
+    /// Back ends of the service that were excluded from selection.
     pub excluded: ExcludedBackEnds,
 }
 
-/// A request that is not served now.
+/// A request that is not served.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason of the refusal.
     pub reason: RefusalReason,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
-    /// What was known, if any back end came into question.
+    /// State on which the refusal is based; `None` if no back end was a candidate.
     pub details: Option<RefusalDetails>,
-    /// Back ends of the service that were not chosen from.
+    /// Back ends of the service that were excluded from selection.
     pub excluded: ExcludedBackEnds,
 }
 
-/// What decided against a request: its first back end as it was known, and its tenant's share.
+/// The preferred back end's state and the tenant's share at the time of a refusal.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RefusalDetails {
-    /// The back end that comes first for the request.
+    /// The preferred back end for the request.
     pub back_end: BackEndId,
-    /// Requests known to be there.
+    /// Requests in progress there, over all routers.
     pub running: u32,
     /// Its concurrency limit, in requests.
     pub limit: u32,
-    /// Prompt tokens known to wait there for their prefill.
+    /// Prompt tokens that wait there for prefill.
     pub pending_prefill: u64,
-    /// Time to the first event as predicted.
+    /// Predicted time to the first event.
     pub predicted: Duration,
-    /// Service that the tenant asks for over the fleet, in tokens a second.
+    /// Service that the tenant requests from the fleet, in tokens per second.
     pub asked: f64,
-    /// Service given to the tenant over the fleet, in tokens a second.
+    /// Service that the fleet gives the tenant, in tokens per second.
     pub given: f64,
-    /// Time since the oldest of the rates that count was told to this router.
+    /// Age of the oldest tenant rates that were used.
     pub rates_age: Duration,
-    /// The fair level, in tokens a second; none if all can be served.
+    /// The fair level, in tokens per second; `None` if all demand can be met.
     pub fair_level: Option<f64>,
 }
 
 impl Refusal {
-    /// The router stops before the request had its turn.
+    /// Returns a refusal for a request that is still waiting when the router stops.
     pub fn stopping() -> Self {
         Self {
             reason: RefusalReason::Stopping,
@@ -158,28 +159,28 @@
     }
 }
 
-/// Why a request is not served now.
+/// Why a request is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 #[display("{}", self.name())]
 pub enum RefusalReason {
-    /// No back end of the service is known to take work.
+    /// The service has no back end that accepts requests.
     NoBackEnd,
-    /// None takes work in the regions where the request may be served.
+    /// No back end accepts requests in the regions where the request may be served.
     NoBackEndInRegion,
-    /// All back ends that may serve it want no requests, for longer than it may wait.
+    /// All candidates asked this router to back off for longer than the request may wait.
     BackingOff,
-    /// No back end has room now, and the tenant has more than the fair level.
+    /// No back end has free capacity, and the tenant is above the fair level.
     OverShare,
-    /// No back end has room in time.
+    /// No back end had free capacity in time.
     NoRoom,
-    /// The router stops.
+    /// The router is stopping.
     Stopping,
-    /// Too many requests wait.
+    /// The service's waiting queue is full.
     QueueFull,
 }
 
 impl RefusalReason {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoBackEnd => "no_back_end",
@@ -193,16 +194,16 @@
     }
 }
 
-/// Decisions on requests that waited.
+/// Placements and refusals of requests that were waiting.
 pub type AdmissionResults = Vec<(TicketId, Result<Placement, Refusal>)>;
 
-/// The answer to a request for admission.
+/// Result of [`Dispatcher::admit`](super::Dispatcher::admit).
 #[derive(Debug)]
 pub enum Admission {
-    /// It goes to a back end now.
+    /// The request can be sent to a back end now.
     Placed(Placement),
-    /// It waits; [`Dispatcher::poll`] tells what becomes of it.
+    /// The request waits; [`Dispatcher::poll`](super::Dispatcher::poll) returns its result.
     Waiting(TicketId),
-    /// It is not served.
+    /// The request is not served.
     Refused(Refusal),
 }
--- a/crates/routing/src/dispatch/mod.rs
+++ b/crates/routing/src/dispatch/mod.rs
@@ -1,6 +1,7 @@
-//! Which back end serves a request, and when: placement, waiting and refusal.
+//! Selects the back end for each request: placement, waiting and refusal.
 //!
-//! A router decides alone, on what it has itself at each back end and on what its peers last told.
+//! Each router decides on its own, from its own load at each back end and the load that its peers
+//! last reported.
 
 mod admission;
 mod aggregation;
@@ -59,7 +60,7 @@
     RefusalDetails, RefusalReason, TicketId,
 };
 
-/// A request that a back end works on.
+/// A request in progress at a back end.
 #[derive(Debug)]
 struct Running {
     back_end: BackEndId,
@@ -68,33 +69,35 @@
     predicted: Duration,
     work_ahead: PrefillWork,
     has_first_event: bool,
-    /// When it should be answered, if its tenant is within its share and the engine could have done it alone.
+    /// Latest time for the first event to count as in time. `None` if the request does not count
+    /// for the service level.
     service_level_due: Option<Timestamp>,
-    /// Events since the pace was observed last, and when that was.
+    /// Events received since `observed`, when the event interval was last sampled.
     events: u32,
     observed: Timestamp,
-    /// Its part in a roll-out, if its service has one.
+    /// Set if the service has a roll-out.
     rollout_request: Option<RolloutRequest>,
 }
 
-/// Lag of the router up to which the times that it sees are taken for those of back ends.
+/// Event-loop lag up to which measured times are attributed to the back ends.
 const TOLERATED_LAG: Duration = Duration::from_millis(15);
-/// Time for which requests under way are marked by a lag.
+/// Time after a larger lag during which measured times are ignored.
 const LAG_RECOVERY: Duration = Duration::from_millis(600);
 
-/// A router's decisions on where and when requests are served.
+/// Decides where and when a router's requests are served.
 #[derive(Debug)]
 pub struct Dispatcher {
     limits: DispatcherLimits,
     engines: Engines,
     announcements: Announcements,
-    /// Back ends that said that they end soon, of which others are still to be told.
+    /// Draining back ends that are still to be announced to peers.
     draining_queue: GossipQueue<BackEndId>,
-    /// How many listed back ends of each service said so.
+    /// Number of listed back ends of each service that announced that they are draining.
     draining_counts: HashMap<String, u32>,
     engine_limits: HashMap<String, EngineLimits>,
     capacity: Option<u64>,
-    /// Requests a second that a cold back end of a service bears, where that is bounded.
+    /// Requests per second that a cold back end sustains, by service; services without a bound are
+    /// absent.
     cold_rates: HashMap<String, f64>,
     first_events: HashMap<String, FirstEventEstimator>,
     unloaded_intervals: HashMap<String, UnloadedEventInterval>,
@@ -117,7 +120,8 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing yet.
+    /// Creates a dispatcher without configuration, back ends or peers. `snapshots` is the address
+    /// at which this router serves its snapshots.
     pub fn new(limits: DispatcherLimits, me: PeerId, snapshots: SocketAddr) -> Self {
         let usage = Usage::new(limits.share_window);
         Self {
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Takes limits from the configuration that is in force now.
+    /// Applies the limits of the configuration that is now in force.
     pub fn on_configuration(&mut self, configuration: &RoutingConfiguration) {
         self.configuration = configuration.version;
         self.capacity = configuration.limits.tokens_per_second;
@@ -164,7 +168,7 @@
             .collect();
     }
 
-    /// Takes what has changed among the back ends.
+    /// Applies added, changed and removed back ends.
     pub fn on_back_end_changes(&mut self, now: Timestamp, changes: &UsableChanges) {
         self.back_ends = changes.revision;
         for id in &changes.removed {
@@ -174,7 +178,8 @@
         self.set_back_ends(now, &changes.updated);
     }
 
-    /// Sets back ends as they may be used: an answer of theirs may have told more than their source knew.
+    /// Adds or updates back ends. The state that a back end announced itself overrides the listed
+    /// one.
     fn set_back_ends(&mut self, now: Timestamp, back_ends: &[BackEnd]) {
         let usable = back_ends.iter().map(|listed| self.announcements.as_usable(listed.clone()));
         let usable: Vec<BackEnd> = usable.collect();
@@ -185,7 +190,7 @@
         self.count_draining();
     }
 
-    /// Takes a whole list of back ends.
+    /// Replaces all back ends by those of `list`.
     pub fn on_back_ends(&mut self, now: Timestamp, list: &BackEndList) {
         let listed: HashSet<&BackEndId> =
             list.back_ends.iter().map(|back_end| &back_end.id).collect();
@@ -194,7 +199,8 @@
         self.on_back_end_changes(now, &UsableChanges { revision: list.revision, updated, removed });
     }
 
-    /// Sets back ends. What other routers have at those that are new is found in one pass over what they told.
+    /// Adds or updates back ends. The peers' load at new ones is added in a single pass over the
+    /// reported stats.
     fn set_engines(&mut self, now: Timestamp, back_ends: &[BackEnd]) {
         let mut new = HashSet::new();
         for back_end in back_ends {
@@ -216,7 +222,7 @@
         }
     }
 
-    /// Takes newer evacuations: the back ends of those zones get nothing new.
+    /// Replaces the set of evacuated zones, whose back ends receive no new requests.
     pub fn on_evacuations(&mut self, evacuated: &EvacuatedZones) {
         self.evacuated = evacuated.clone();
         self.preferred.clear();
@@ -225,69 +231,72 @@
         });
     }
 
-    /// A back end as it is listed.
+    /// Returns a listed back end.
     pub fn back_end(&self, id: &BackEndId) -> Option<&BackEnd> {
         self.engines.get(id).map(|engine| &engine.back_end)
     }
 
-    /// Whether an event or an answer of a back end came after a moment.
+    /// Returns whether an event or a response of the back end arrived after `since`.
     pub fn has_responded_since(&self, id: &BackEndId, since: Timestamp) -> bool {
         self.engines.get(id).is_some_and(|engine| engine.last_response > since)
     }
 
-    /// A life of a back end ended. All others are spared to find that out by a connection that is refused.
+    /// Marks a back end's incarnation as ended and excludes it from selection for a while, to avoid
+    /// connection attempts that would fail.
     pub fn on_back_end_ended(&mut self, now: Timestamp, key: EngineKey) {
         if let Some(engine) = self.engines.by_key(key) {
             engine.on_ended(now);
         }
     }
 
-    /// How many back ends were looked at until now, for requests and for messages.
+    /// Returns the number of back ends examined so far, for requests and for messages.
     pub fn engines_examined(&self) -> u64 {
         self.engines.examined()
     }
 
-    /// What all routers have at each back end, as far as this one knows.
+    /// Returns the load of each back end over all routers, as far as known here.
     pub fn loads(&self) -> impl Iterator<Item = Load> {
         self.engines.all().map(Engine::load)
     }
 
-    /// Routers of the fleet, as many as any router knows.
+    /// Returns the largest fleet size, in routers, that this router or any of its peers knows of.
     pub fn fleet_size(&self) -> usize {
         self.fleet.size()
     }
 
-    /// How this router tells its stats.
+    /// Returns how this router reports its load stats.
     pub fn role(&self) -> Role {
         self.fleet.role()
     }
 
-    /// Who is told of ends, and of back ends that drain, in a round: all peers of a small fleet, a few of a large one. `draw` is uniform.
+    /// Returns the peers that ended and draining back ends are announced to in this round: all in a
+    /// mesh, a few in a larger fleet. `draw` is a uniform random number.
     pub fn gossip_targets(&self, draw: u64) -> Vec<SocketAddr> {
         self.fleet.gossip_targets(draw)
     }
 
-    /// This router's turn to probe a request that is quarantined.
+    /// Returns this router's position in the order in which routers probe a quarantined request.
     pub fn probe_slot(&self, request: RequestFingerprint) -> ProbeSlot {
         self.fleet.probe_slot(request)
     }
 
-    /// One peer, drawn.
+    /// Returns the peer selected by the random number `draw`, or `None` without peers.
     pub fn random_peer(&self, draw: u64) -> Option<SocketAddr> {
         self.fleet.random_peer(draw)
     }
 
-    /// Whether this router passes on what others report of ends.
+    /// Returns whether this router relays reports of ended back ends that it receives from peers.
     pub fn relaying(&self) -> Relaying {
         if self.fleet.role() == Role::Mesh { Relaying::Nothing } else { Relaying::All }
     }
 
-    /// Number of routers believed to be there, this one included.
+    /// Returns the number of known routers, including this one.
     pub fn routers(&self) -> usize {
         self.fleet.routers()
     }
 
-    /// A request for a service came: it earns budget and counts as asked for.
+    /// Records the arrival of a request, which adds to the service's retry budget and to the
+    /// tenant's demand.
     pub fn on_request(&mut self, now: Timestamp, demand: &Demand) {
         self.budget(&demand.service).on_request(now);
         if let (Some(tenant), Some(prompt)) = (&demand.tenant, &demand.prompt) {
@@ -295,27 +304,27 @@
         }
     }
 
-    /// Takes one second send from the budget of a service, if it has one.
+    /// Takes one retry from the service's budget. Returns whether there was one left.
     pub fn take_retry(&mut self, now: Timestamp, service: &str) -> bool {
         let routers = self.fleet.size();
         self.budget(service).take(now, routers)
     }
 
-    /// Second sends left for a service.
+    /// Returns the retries left in the service's budget.
     pub fn retries_left(&mut self, now: Timestamp, service: &str) -> u32 {
         let routers = self.fleet.size();
         self.budget(service).remaining(now, routers)
     }
 
-    /// The router itself runs late by `lag`. Times seen for a while after much of it tell of the router
-    /// and not of back ends, so nothing is learned from them.
+    /// Records that the router's event loop runs late by `lag`. After a large lag, measured times
+    /// reflect the router's delay and not that of the back ends, so they are ignored for a while.
     pub fn on_lag(&mut self, now: Timestamp, lag: Duration) {
         if lag > TOLERATED_LAG {
             self.lagging_until = now + LAG_RECOVERY;
         }
     }
 
-    /// A request's first event, or its whole answer, has come.
+    /// Records a request's first event, or its complete response if it has no events.
     pub fn on_first_event(&mut self, now: Timestamp, ticket: TicketId) {
         let Some(running) = self.running.get_mut(&ticket) else { return };
         if std::mem::replace(&mut running.has_first_event, true) {
@@ -347,8 +356,9 @@
         self.adjust_limit(now, &back_end);
     }
 
-    /// A request has ended, well or not, or its caller has gone: it takes no more room. Gives whether a
-    /// back end has more room than before.
+    /// Records the end of a request, whether it succeeded, failed or was cancelled by its caller,
+    /// and releases its capacity. Returns whether a back end may have more free capacity than
+    /// before.
     pub fn on_end(
         &mut self,
         now: Timestamp,
@@ -389,8 +399,8 @@
         budgets.or_insert_with(|| RetryBudget::new(limits, burst_from, fleet.draw(service)))
     }
 
-    /// Reserves room for a request at the best back end, if one has it. A request whose time to wait
-    /// is over (`is_final_attempt`) is also placed where it is late.
+    /// Reserves capacity for a request at the best back end that has any. With `is_final_attempt`
+    /// set, it may also be placed where its first event will be late.
     fn try_place(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/dispatch/peers.rs
+++ b/crates/routing/src/dispatch/peers.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher tells other routers and takes from them.
+//! Messages to and from other routers.
 
 use super::Dispatcher;
 use super::fleet::{LoadStatsChange, NewPeer, OwnState};
@@ -10,7 +10,8 @@
 use std::net::SocketAddr;
 
 impl Dispatcher {
-    /// A message of another router has come that tells of itself or of sums. Gives that router if it was not known before.
+    /// Handles a message from another router. Returns the sender of a digest or sum if it is a new
+    /// peer.
     pub fn on_message(&mut self, now: Timestamp, message: PeerMessage) -> Option<NewPeer> {
         match message {
             PeerMessage::Digest(digest) => self.on_digest(now, digest),
@@ -25,7 +26,7 @@
         }
     }
 
-    /// What this router passes on of a message that has come.
+    /// Returns the message that this router relays on receipt of `message`, if any.
     pub fn relayed_message(&self, message: &PeerMessage) -> Option<Outgoing> {
         match message {
             PeerMessage::SumForZone(sum) => self
@@ -39,7 +40,7 @@
         }
     }
 
-    /// A peer's digest has come. Gives the peer if it was not known before.
+    /// Handles a peer's digest. Returns the peer if it is new.
     pub fn on_digest(&mut self, now: Timestamp, digest: Digest) -> Option<NewPeer> {
         let update = self.fleet.on_digest(now, digest)?;
         self.apply_stats_change(update.change);
@@ -52,20 +53,21 @@
         update.new_peer
     }
 
-    /// Forgets what peers that fell silent have at back ends.
+    /// Removes stats and peers that have expired.
     pub fn expire_peers(&mut self, now: Timestamp) {
         let expired = self.fleet.expire(now);
         self.apply_stats_change(expired);
     }
 
-    /// This router's own digest for all others of a small fleet.
+    /// Returns this router's digest for all peers of a mesh.
     pub fn digest(&mut self, now: Timestamp, phase: RouterPhase) -> Digest {
         let own = self.own_state(phase);
         let stats = self.own_stats(now);
         self.fleet.digest(own, stats)
     }
 
-    /// What this router tells others now. `seeds` are called now and then, in case nobody else is known.
+    /// Returns the messages of one round. `seeds` are contacted periodically in case no peer is
+    /// known.
     pub fn next_round(
         &mut self,
         now: Timestamp,
@@ -92,7 +94,7 @@
         messages
     }
 
-    /// The answer to a router that was not known before.
+    /// Returns the digest that introduces this router to a new peer.
     pub fn hello(&mut self, phase: RouterPhase) -> Digest {
         let own = self.own_state(phase);
         self.fleet.hello(own)
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Most loads are the same from one message to the next, so only those that differ are changed.
+    /// Applies changed stats to the engines. Loads that are the same before and after are skipped.
     fn apply_stats_change(&mut self, mut change: LoadStatsChange) {
         if let Some(added) = &mut change.added {
             for removed in &mut change.removed {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Adds what others told of back ends that this router did not know.
+    /// Adds the stats that peers reported for back ends that were not listed until now.
     pub(super) fn add_reported_stats(&mut self, new: &HashSet<EngineKey>) {
         for entry in self.fleet.loads().filter(|entry| new.contains(&entry.engine)) {
             if let Some(engine) = self.engines.by_key(entry.engine) {
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Changes what others have at engines by each of the stats.
+    /// Applies a change to the peers' load and service level of each engine in `stats`.
     fn update_peer_stats(
         &mut self,
         stats: &LoadStats,
@@ -181,7 +183,8 @@
     }
 }
 
-/// Drops the entries that stand in both, each sorted by engine. What is not sorted stays, and is taken away and added again.
+/// Removes entries that are in both lists, which are sorted by engine. Unsorted entries remain,
+/// which is harmless: they are removed from the engine and added again.
 fn remove_common_loads(left: &mut Vec<EngineLoad>, right: &mut Vec<EngineLoad>) {
     let mut others = std::mem::take(right).into_iter().peekable();
     left.retain(|entry| {
--- a/crates/routing/src/dispatch/placement.rs
+++ b/crates/routing/src/dispatch/placement.rs
@@ -1,4 +1,5 @@
-//! The choice of a back end: the one that holds the prompt's shared prefix, as long as it is in time.
+//! Back-end selection: prefers the engine that caches the prompt's shared prefix while it can
+//! respond in time.
 
 use super::fair_level::ShareClass;
 use super::{Demand, Dispatcher};
@@ -11,75 +12,70 @@
 use mastbay_types::{Timestamp, mixed_hash};
 use std::time::Duration;
 
-/// Part of the memory that running requests may take.
+/// Fraction of an engine's memory that running requests may take.
 const MEMORY_FRACTION: f64 = 0.92;
-/// Requests that a plain back end may have beyond its slots.
+/// Requests that a plain back end may queue beyond its slots.
 const MAX_PLAIN_QUEUE: u32 = 2;
-/// Drawn back ends with room among which a request's is chosen. The best of two drawn ones is nearly as good as the best of all where
-/// loads are known late; of this many of five zones, one is in the router's own zone 97 times in a hundred.
+/// Sampled candidates with free capacity that are scored for one request.
 const MAX_SCORED_SAMPLES: usize = 16;
-/// Drawn back ends looked at for one request. If one in six may serve it, none of this many does so once in a hundred thousand times.
+/// Sampled back ends examined for one request.
 const MAX_SAMPLED: usize = 64;
-/// Cost up to which a prefix is cheap to prefill again.
+/// Recomputation cost up to which a prefix counts as cheap to prefill again.
 const CHEAP_RECOMPUTATION_COST: f64 = 0.5;
-/// Tokens prefilled again for each token generated that cost as much as a back end whose slots are all taken. What
-/// moves to another back end frees a slot here for as long as it generates tokens.
+/// Recomputed prefix tokens per generated token that cost as much as a fully occupied back end.
 const RECOMPUTED_TOKENS_PER_GENERATED: f64 = 10.0;
-/// Cost of each further rank: between equals, the same back end is chosen everywhere.
+/// Cost per rank in the preference order, so that all routers break ties the same way.
 const RANK_COST: f64 = 0.02;
-/// Share of failures that costs as much as a back end whose slots are all taken.
+/// Failure share that costs as much as a fully occupied back end.
 const FULL_COST_FAILURE_SHARE: f64 = 0.08;
-/// Cost of a predicted first event as late as the objective.
+/// Cost of a first event predicted to take the whole objective.
 const LATE_COST: f64 = 0.5;
-/// What another zone costs a plain request, in slots.
+/// Cost of a back end in another zone for a plain request.
 const OTHER_ZONE_COST: f64 = 0.08;
 
-/// Part of its slots up to which an engine that has nothing to prefill is never refused.
+/// Fraction of its slots below which an engine without pending prefill is always eligible.
 const IDLE_SLOT_FRACTION: f64 = 0.5;
-/// Prompt tokens to prefill up to which an engine counts as having nothing to prefill.
+/// Pending prompt tokens up to which an engine counts as having no pending prefill.
 const IDLE_PREFILL_TOKENS: u64 = 1_500;
-/// Part of a back end's latency ratio that one observation moves.
+/// Weight of one observation in the moving average.
 const LATENCY_RATIO_WEIGHT: f64 = 0.05;
-/// Least and max_running latency ratio believed.
 const LATENCY_RATIO_BOUNDS: (f64, f64) = (0.7, 6.0);
 
-/// The latency ratio after one more observation.
+/// Returns the moving average of the latency ratio after one more observation.
 pub fn next_latency_ratio(ratio: f64, predicted: Duration, taken: Duration) -> f64 {
     let error_ratio = milliseconds(taken).max(1.0) / milliseconds(predicted).max(1.0);
     let observed = (ratio * error_ratio).clamp(LATENCY_RATIO_BOUNDS.0, LATENCY_RATIO_BOUNDS.1);
     ratio + LATENCY_RATIO_WEIGHT * (observed - ratio)
 }
 
-/// A back end scored for a request.
+/// A back end with its cost for a request.
 #[derive(Debug, Clone)]
 pub struct ScoredBackEnd {
-    /// The back end.
     pub id: BackEndId,
-    /// Time to the first event.
+    /// Predicted time to the first event.
     pub predicted: Duration,
-    /// The same if nothing else were pending there.
+    /// Predicted time to the first event if no other prefill were pending.
     pub predicted_idle: Duration,
-    /// Prompt tokens that it prefills for the request.
+    /// Prompt tokens that are not in its prefix cache.
     pub uncached: u64,
-    /// Prefill that it does until the request's first event.
+    /// Prefill to be done before the request's first event, including the request's own.
     pub work_ahead: PrefillWork,
-    /// What the choice goes by; less is better.
+    /// Selection cost; the lowest wins.
     cost: f64,
 }
 
-/// How a request is looked at.
+/// Request-dependent conditions for the selection of a back end.
 #[derive(Debug, Clone)]
 pub struct SelectionCriteria {
-    /// How much of its share its tenant is given.
     pub class: ShareClass,
-    /// Its time to wait is over.
+    /// Whether the request's waiting time is over, so that its first event may be late.
     pub is_final_attempt: bool,
-    /// The versions that may serve it.
+    /// The versions that may serve the request.
     pub release: VersionFilter,
 }
 
 impl Dispatcher {
-    /// The best back end with room for a request.
+    /// Returns the back end with the lowest cost that has free capacity for the request.
     pub(super) fn best(
         &mut self,
         now: Timestamp,
@@ -114,7 +110,7 @@
             && !demand.tried.contains(&engine.back_end.id)
     }
 
-    /// All back ends that may serve a demand.
+    /// Returns all back ends that may serve the request.
     pub(super) fn candidates(
         &self,
         now: Timestamp,
@@ -126,7 +122,7 @@
         engines.filter(move |engine| self.is_candidate(now, engine, demand, release))
     }
 
-    /// Engines drawn from all, for a prompt whose preferred engines all want no requests.
+    /// Scores sampled engines. Used when all preferred engines are backing off.
     fn score_sampled(
         &self,
         now: Timestamp,
@@ -140,7 +136,8 @@
         eligible.take(MAX_SCORED_SAMPLES).collect()
     }
 
-    /// Back ends that may serve a demand, from a drawn one on, as many as are looked at for one request.
+    /// Returns candidates from a bounded sample of the service's back ends that starts at a
+    /// pseudorandom position.
     fn sampled_candidates(
         &self,
         now: Timestamp,
@@ -156,8 +153,8 @@
         engines.filter(move |engine| self.is_candidate(now, engine, demand, release))
     }
 
-    /// Plain back ends by their load. Of many, some are drawn, others each time: looking at all cost 0.24 ms a request before 643 of
-    /// them, and all routers met at the first one that they took for idle.
+    /// Scores plain back ends. A sample bounds the cost per request and keeps routers from all
+    /// choosing the same idle back end.
     fn score_plain(
         &self,
         now: Timestamp,
@@ -169,7 +166,7 @@
         free.take(MAX_SCORED_SAMPLES).collect()
     }
 
-    /// A plain back end, if it has room.
+    /// Scores a plain back end, if it has free capacity.
     pub(super) fn score_plain_if_free(
         &self,
         now: Timestamp,
@@ -194,7 +191,8 @@
         })
     }
 
-    /// An engine that need not hold the prompt's shared prefix, if it has room and is in time.
+    /// Scores an engine outside the preference order, if it has free capacity and would respond in
+    /// time.
     pub(super) fn score_if_eligible(
         &self,
         now: Timestamp,
@@ -212,7 +210,8 @@
         is_eligible.then_some(scored)
     }
 
-    /// Engines that are in time, by their rank for the prompt's shared prefix.
+    /// Scores the engines that would respond in time, in preference order for the prompt's shared
+    /// prefix.
     fn score_engines(
         &mut self,
         now: Timestamp,
@@ -261,7 +260,8 @@
         scored
     }
 
-    /// The engine that comes first for a request's prompt, whether it has room or not.
+    /// Returns the most preferred engine for the request's prompt, whether it has free capacity or
+    /// not.
     pub(super) fn first_choice(
         &mut self,
         now: Timestamp,
@@ -301,7 +301,7 @@
         f64::from(load.running + 1) <= max_running && !is_limited && fits
     }
 
-    /// The concurrency limit of an engine, in requests.
+    /// Returns the concurrency limit of an engine, in requests.
     pub(super) fn concurrency_limit(&self, now: Timestamp, engine: &Engine) -> f64 {
         let slots = f64::from(engine.back_end.slots.max(1));
         match self.limits.policy.concurrency {
@@ -348,14 +348,14 @@
     }
 }
 
-/// What it costs to prefill `tokens` of a prompt's shared prefix again.
+/// Returns the cost of prefilling `tokens` of a prompt's shared prefix again.
 fn cost_of_recomputing(prompt: &Prompt, tokens: u64) -> f64 {
     let generated = f64::from(prompt.expected_output().max(1));
     tokens as f64 / generated / RECOMPUTED_TOKENS_PER_GENERATED
 }
 
-/// Whether an engine has so little to do that no prediction speaks against it. Without this a wrong
-/// prediction would refuse all, and nothing would be observed that could mend it.
+/// Returns whether an engine has so little load that predictions are ignored. Otherwise a wrong
+/// prediction could exclude every engine and never be corrected by new observations.
 fn is_idle(engine: &Engine) -> bool {
     let load = engine.load();
     let slots = f64::from(engine.back_end.slots.max(1));
@@ -363,7 +363,9 @@
         && f64::from(load.running) < slots * IDLE_SLOT_FRACTION
 }
 
-/// Whether a back end's first event would come in time; at the last call it may be late.
+/// Returns whether a back end's first event is predicted to be in time. The limit is the deadline
+/// for retries, the objective for final attempts, and otherwise a fraction of the objective. It is
+/// longer for requests that would be late on an idle engine too.
 fn is_in_time(
     now: Timestamp,
     scored: &ScoredBackEnd,
--- a/crates/routing/src/dispatch/preferred_engines.rs
+++ b/crates/routing/src/dispatch/preferred_engines.rs
@@ -1,4 +1,4 @@
-//! The order in which back ends take requests with the same shared prefix, remembered for each prefix.
+//! Cached rendezvous order of back ends for each shared prompt prefix.
 
 use super::Demand;
 use super::engines::{Engines, ReadyEngine};
@@ -10,50 +10,50 @@
 use std::collections::hash_map::Entry;
 use std::rc::Rc;
 
-/// Prefixes remembered; past this all are forgotten and ranked anew.
+/// Cached rankings; when exceeded, the cache is cleared.
 const MAX_RANKINGS: usize = 8_192;
-/// Back ends kept in the order of a prefix.
+/// Back ends kept in each ranking.
 const MAX_RANKED: usize = 6;
 
-/// Whose order it is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct RankingKey {
     service: Rc<str>,
-    /// The shared prefix of a prompt.
+    /// Hash of the prompt's shared prefix.
     prefix: u64,
-    /// Where the requests may be served.
+    /// Regions in which the requests may be served.
     regions: AllowedRegions,
-    /// The versions that may serve.
+    /// Versions that may serve the requests.
     release: VersionFilter,
 }
 
-/// Rankings made since the back ends changed last.
+/// Rankings by service, prefix, regions and versions.
 #[derive(Debug, Default)]
 pub struct PreferredEngines {
     services: HashMap<String, Rc<str>>,
     rankings: HashMap<RankingKey, Ranking>,
 }
 
-/// The ranked back ends for one prefix.
+/// The highest-ranked back ends of one key.
 #[derive(Debug)]
 struct Ranking {
     back_ends: Rc<[BackEndId]>,
-    /// The score of the last of them, if there are as many as are kept; one with a lower score does not stand among them.
+    /// Lowest score in a full ranking, below which a back end is not ranked. `None` if the ranking
+    /// is not full.
     min_score: Option<u64>,
 }
 
 impl PreferredEngines {
-    /// The back ends have changed.
+    /// Drops all rankings.
     pub fn clear(&mut self) {
         self.rankings.clear();
     }
 
-    /// A back end is gone: orders that hold it are made anew when they are asked for.
+    /// Drops the rankings that contain a removed back end.
     pub fn on_removed(&mut self, id: &BackEndId) {
         self.rankings.retain(|_, ranking| !ranking.back_ends.contains(id));
     }
 
-    /// A back end is new, or its state has changed. Orders in which it would stand and doesn't are made anew.
+    /// Drops the rankings that a new or changed back end affects.
     pub fn on_set(&mut self, engines: &Engines, back_end: &BackEnd) {
         let Some(engine) = engines.get(&back_end.id) else { return };
         if !engine.accepts_work() {
@@ -68,7 +68,8 @@
         });
     }
 
-    /// The ranked back ends for a demand with a prefix; the same at every router with the same list.
+    /// Returns the preferred back ends for `demand` and `prefix`. Routers with the same list of
+    /// back ends get the same order.
     pub fn of(
         &mut self,
         engines: &Engines,
--- a/crates/routing/src/dispatch/releases.rs
+++ b/crates/routing/src/dispatch/releases.rs
@@ -1,4 +1,4 @@
-//! Which version of a service a request goes to while a roll-out is under way, and what its answer tells of that version.
+//! Selects the version of a service during a roll-out and records the responses of each version.
 
 use super::placement::{ScoredBackEnd, SelectionCriteria};
 use super::{Demand, Dispatcher, Running};
@@ -7,28 +7,28 @@
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// A request's part in a roll-out.
+/// A request that counts in a roll-out.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutRequest {
     side: Side,
     route: u32,
-    /// Time to the first byte that such a request takes as a rule; a fixed time where nothing is known.
+    /// Expected time to the first byte; a constant for plain requests.
     expected: Duration,
-    /// Time to the first byte that it took.
+    /// Measured time to the first byte.
     taken: Option<Duration>,
 }
 
-/// What times of plain requests are told in: they have no size that tells more.
+/// Expected time for plain requests, which have no size to predict one from.
 const PLAIN_EXPECTED_TIME: Duration = Duration::from_millis(1);
 
 impl Dispatcher {
-    /// Takes the operator's orders as they stand now.
+    /// Applies the current roll-out orders.
     pub fn on_rollouts(&mut self, now: Timestamp, rollouts: &Rollouts) {
         self.rollouts_revision = rollouts.revision;
         self.rollouts.on_orders(now, rollouts);
     }
 
-    /// Judges roll-outs by what the fleet counted. Gives the states that are to be recorded.
+    /// Evaluates roll-outs by the counts of the whole fleet. Returns the states to be recorded.
     pub fn evaluate_rollouts(&mut self, now: Timestamp) -> Vec<RolloutRecord> {
         if self.rollouts.is_empty() {
             return Vec::new();
@@ -37,13 +37,13 @@
         self.rollouts.evaluate(now, &fleet)
     }
 
-    /// Where requests of a service go that are no part of a canary.
+    /// Returns the versions for requests of a service that are not part of a canary.
     pub(super) fn default_release(&self, now: Timestamp, service: &str) -> VersionFilter {
         self.rollouts.of(service).map(|rollout| rollout.default_filter(now)).unwrap_or_default()
     }
 
-    /// The best back end of the version that is rolled out, if the request may be part of the canary. One that was tried before may
-    /// not: its caller has met enough.
+    /// Returns the best back end of the version that is being rolled out, if the request may be
+    /// part of the canary. Retries and suspects may not, since they have already failed once.
     pub(super) fn best_of_canary(
         &mut self,
         now: Timestamp,
@@ -61,7 +61,7 @@
         self.best(now, demand, &criteria)
     }
 
-    /// A request was placed. Gives its part in a roll-out, if its service has one.
+    /// Records that a request was placed. Returns its part in a roll-out, if its service has one.
     pub(super) fn record_release(
         &mut self,
         demand: &Demand,
@@ -80,7 +80,7 @@
         Some(RolloutRequest { side, route: demand.route, expected, taken: None })
     }
 
-    /// A request has ended.
+    /// Records the response of a request that is part of a roll-out.
     pub(super) fn record_release_end(
         &mut self,
         now: Timestamp,
@@ -93,7 +93,7 @@
         let answer = match (outcome, request.taken) {
             (Err(Some(Fault::Full | Fault::Replaced | Fault::Unreachable)), _) => return,
             (Err(Some(Fault::Broken | Fault::Failure)), _) => AnswerOutcome::Failed,
-            // A caller that went away says as much as the time that it had waited.
+            // For a cancelled request, the time that the caller waited counts as its latency.
             (Ok(()) | Err(None), taken) => {
                 let taken = taken.unwrap_or_else(|| now.since(running.sent));
                 AnswerOutcome::Answered(request.relative_to_expected(taken))
@@ -104,7 +104,6 @@
 }
 
 impl RolloutRequest {
-    /// The first byte has come.
     pub fn on_first_event(&mut self, taken: Duration) {
         self.taken.get_or_insert(taken);
     }
--- a/crates/routing/src/dispatch/sharing.rs
+++ b/crates/routing/src/dispatch/sharing.rs
@@ -1,4 +1,5 @@
-//! A router's view of tenants' shares, and of tenants below half of theirs whose requests could not be placed.
+//! Fair shares of tenants, and the effect of unplaced and refused requests on capacity and service
+//! level.
 
 use super::fair_level::{ShareClass, Shares};
 use super::{Demand, Dispatcher};
@@ -6,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time for which tenants' rates are used before they are summed again.
+/// Time for which summed tenant rates are reused.
 const SHARES_TTL: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
@@ -18,8 +19,8 @@
         self.shares(now).class(tenant)
     }
 
-    /// Notes that a request could not be placed, so that slots are left for it if its tenant is below half of
-    /// its share.
+    /// Records that a request could not be placed. If its tenant is below half of its share,
+    /// routers reserve slots for it.
     pub(super) fn record_unplaced(&mut self, now: Timestamp, demand: &Demand) {
         if demand.prompt.is_none() || self.share_class(now, demand) != ShareClass::BelowHalf {
             return;
@@ -30,8 +31,9 @@
         }
     }
 
-    /// When a request is due that counts for the service level of tenants within their share. One that an
-    /// engine could not serve in time with nothing else to do says nothing about the load.
+    /// Returns when a request must have its first event to count as in time for the service level.
+    /// `None` for tenants above their share, and for requests that even an idle engine could not
+    /// serve in time, since they say nothing about the load.
     pub(super) fn service_level_due(
         &self,
         demand: &Demand,
@@ -48,7 +50,7 @@
         (is_within && could_be_in_time).then_some(demand.arrived + demand.objective)
     }
 
-    /// Notes that a request was refused: a miss if it counts for the service level.
+    /// Records a refused request as missed, if it counts for the service level.
     pub(super) fn record_missed(&mut self, now: Timestamp, demand: &Demand) {
         let class = self.share_class(now, demand);
         let Some(first) = self.first_choice(now, demand) else { return };
--- a/crates/routing/src/dispatch/source.rs
+++ b/crates/routing/src/dispatch/source.rs
@@ -1,4 +1,4 @@
-//! What the fleet knows of the source of configuration and back ends, and who asks it.
+//! The fleet's contact with the source of configuration and back ends, and which routers follow it.
 
 use super::Dispatcher;
 use crate::digest::RouterPhase;
@@ -8,45 +8,46 @@
 use std::net::SocketAddr;
 
 impl Dispatcher {
-    /// A call to the source was answered, or failed.
+    /// Records the result of this router's last call to the source.
     pub fn on_source_contact(&mut self, contact: SourceContact) {
         self.contact = contact;
     }
 
-    /// What this router knows of the source by its own calls.
+    /// Returns the result of this router's last call to the source.
     pub fn source_contact(&self) -> SourceContact {
         self.contact
     }
 
-    /// Whether the last call of any router to the source was answered, as far as this one hears.
+    /// Returns whether the last call of any router to the source was answered, as far as known
+    /// here.
     pub fn is_source_answering(&self, now: Timestamp) -> bool {
         self.contact == SourceContact::Answered || self.fleet.is_source_answering(now)
     }
 
-    /// Whether the last call of any other router to the source was answered, as far as this one hears.
+    /// Returns whether the last call of any peer to the source was answered, as far as known here.
     pub fn others_reach_source(&self, now: Timestamp) -> bool {
         self.fleet.any_peer_reaches_source(now)
     }
 
-    /// Whether this router follows the source; the others learn from their peers.
+    /// Returns whether this router should follow the source instead of learning from its peers.
     pub fn follows_source(&self, now: Timestamp) -> bool {
         self.fleet.follows_source(now, self.contact)
     }
 
-    /// What is known of the other routers.
+    /// Returns the counts of peers in this zone and the peers' relative CPU shares.
     pub fn peer_capacity(&self) -> PeerCapacity {
         self.fleet.peer_capacity()
     }
 
-    /// Peers, by their digest addresses, that may take connections off this router, the first choice first. `draws`,
-    /// uniform in 0..1, spread the choice.
+    /// Returns the digest addresses of peers in this zone that may take over connections, the best
+    /// first. `draws` are uniform in 0..1 and randomize the choice.
     pub fn offload_targets(&self, draws: (f64, f64)) -> Vec<SocketAddr> {
         self.fleet.offload_targets(&self.own_state(RouterPhase::Serving), draws)
     }
 
-    /// A peer of another zone, by its digest address, that may take a connection that would else be closed unread: what passes
-    /// between zones costs. It is of the same region, where round trips are short, and its zone is not evacuated. `draw`, uniform
-    /// in 0..1, spreads the choice.
+    /// Returns the digest address of a peer in another zone that may take over a connection which
+    /// this router would otherwise close unread. The peer's zone is in the same region, where round
+    /// trips are short, and not evacuated. `draw` is uniform in 0..1 and randomizes the choice.
     pub fn cross_zone_offload_target(&self, draw: f64) -> Option<SocketAddr> {
         let own = self.own_state(RouterPhase::Serving);
         let region = self.limits.regions.of(&own.zone)?;
@@ -57,15 +58,14 @@
         self.fleet.cross_zone_offload_target(&own, is_near, draw)
     }
 
-    /// Whether any peer has told of a newer configuration or newer back ends.
+    /// Returns whether any peer announced newer configuration, back ends, evacuations or roll-outs.
     pub fn is_behind(&self, now: Timestamp) -> bool {
         self.fleet.is_behind(now, &self.own_state(RouterPhase::Serving))
     }
 
-    /// Where a peer that has told of a newer configuration or newer back ends hands them out, if this router should ask one now: a
-    /// member waits a while for one of its zone.
-    ///
-    /// `draw`, uniform in 0..1, picks one, so that not all ask the same.
+    /// Returns the snapshot address of a peer that announced newer state, if this router should
+    /// fetch it now. A member first waits for a peer in its zone to have it. `draw` is uniform in
+    /// 0..1 and spreads the requests over such peers.
     pub fn newer_snapshot_address(&self, now: Timestamp, draw: f64) -> Option<SocketAddr> {
         self.fleet.newer_snapshot_address(now, &self.own_state(RouterPhase::Serving), draw)
     }
--- a/crates/routing/src/dispatch/suspects.rs
+++ b/crates/routing/src/dispatch/suspects.rs
@@ -1,8 +1,9 @@
-//! Where requests go under which back ends ended before.
+//! Placement of requests under which back ends have ended.
 //!
-//! All that were under way at a back end that ended are suspects, one of them with reason. Each of them has an order of back ends of its
-//! own, so that they part: the next back end that ends tells one from the others. Copies of the same request meet, at whatever
-//! router they come, and end one back end where they would have ended several.
+//! All requests that were in progress at a back end that ended are suspects. Each suspect has its
+//! own order of back ends, so that suspects separate and the next back end that ends narrows down
+//! the cause. The order is the same at every router, so that copies of a request affect the same
+//! back end.
 
 use super::placement::{ScoredBackEnd, SelectionCriteria};
 use super::{Demand, Dispatcher};
@@ -13,7 +14,7 @@
 use std::cmp::Reverse;
 
 impl Dispatcher {
-    /// The first back end with room in a suspect's own order.
+    /// Returns the first back end with free capacity in the suspect's order.
     pub(super) fn best_for_suspect(
         &mut self,
         now: Timestamp,
@@ -31,7 +32,7 @@
     }
 }
 
-/// Where a suspect stands in the order of a back end: the same at every router, and another for each request.
+/// Returns the rendezvous score of a back end for a suspect, the same at every router.
 fn rendezvous_score(suspect: RequestFingerprint, back_end: EngineKey) -> u64 {
     stable_hash(&[&suspect.short().to_be_bytes(), &back_end.to_bytes()])
 }
