--- a/crates/routing/src/dispatch/admission.rs
+++ b/crates/routing/src/dispatch/admission.rs
@@ -127,8 +127,8 @@
         reason: RefusalReason,
         draw: f64,
     ) -> Refusal {
-        let left = demand.deadline.since(now).mul_f64(RETRY_AFTER_FRACTION);
-        let default_delay = left.min(MAX_RETRY_AFTER).mul_f64(0.5 + 0.5 * draw);
+        let remaining = demand.deadline.since(now).mul_f64(RETRY_AFTER_FRACTION);
+        let default_delay = remaining.min(MAX_RETRY_AFTER).mul_f64(0.5 + 0.5 * draw);
         let retry_after = self.until_backoff_ends(now, demand, draw).unwrap_or(default_delay);
         let excluded = self.excluded(now, &demand.service);
         Refusal { reason, retry_after, details: self.refusal_details(now, demand), excluded }
@@ -143,10 +143,10 @@
         demand: &Demand,
         draw: f64,
     ) -> Option<Duration> {
-        let left = self.earliest_backoff_end(now, demand)?.since(now);
+        let remaining = self.earliest_backoff_end(now, demand)?.since(now);
         let spread =
-            left.mul_f64(RETURN_SPREAD_FRACTION).clamp(MIN_RETURN_SPREAD, MAX_RETURN_SPREAD);
-        Some(left + spread.mul_f64(draw))
+            remaining.mul_f64(RETURN_SPREAD_FRACTION).clamp(MIN_RETURN_SPREAD, MAX_RETURN_SPREAD);
+        Some(remaining + spread.mul_f64(draw))
     }
 
     fn refusal_details(&mut self, now: Timestamp, demand: &Demand) -> Option<RefusalDetails> {
--- a/crates/routing/src/dispatch/fleet/roster.rs
+++ b/crates/routing/src/dispatch/fleet/roster.rs
@@ -1,7 +1,7 @@
 //! The routers among which duties are divided by rendezvous hashing.
 //!
-//! Entries outlive short silence: a router that is only unreachable from here goes on with its
-//! duties, and if another one took them over they would be done twice.
+//! Entries outlive short silence: a router that is only unreachable from here continues its duties,
+//! and if another one took them over they would be done twice.
 
 use super::{Fleet, STATS_TTL};
 use crate::digest::{RouterPhase, RouterState};
@@ -32,7 +32,7 @@
     }
 
     /// Returns whether this router is among the first `count` in rendezvous order for an engine.
-    /// Returns false if it knows too few of the others, or receives from none, to tell.
+    /// Returns false while it knows too few of the others or receives from none of them.
     pub fn is_among_first(&self, now: Timestamp, engine: EngineKey, count: usize) -> bool {
         if !self.knows_roster(now) {
             return false;
--- a/crates/routing/src/dispatch/fleet/view.rs
+++ b/crates/routing/src/dispatch/fleet/view.rs
@@ -135,8 +135,8 @@
     }
 
     /// Returns whether this member's aggregator fails to reach the source. While it does, a
-    /// fallback member continues. Sums cannot tell, since their count of routers that reach the
-    /// source includes the member itself.
+    /// fallback member continues. Sums do not show this, since they count the member itself among
+    /// the routers that reach the source.
     fn has_aggregator_lost_source(&self, now: Timestamp) -> bool {
         let Role::Member(aggregator) = self.role else { return false };
         let mut fresh = self.fresh_peers(now);
--- a/crates/routing/src/dispatch/mod.rs
+++ b/crates/routing/src/dispatch/mod.rs
@@ -254,7 +254,7 @@
         self.engines.examined()
     }
 
-    /// Returns the load of each back end over all routers, as far as known here.
+    /// Returns the load of each back end over all routers, from the stats received.
     pub fn loads(&self) -> impl Iterator<Item = Load> {
         self.engines.all().map(Engine::load)
     }
--- a/crates/routing/src/dispatch/sharing.rs
+++ b/crates/routing/src/dispatch/sharing.rs
@@ -33,7 +33,7 @@
 
     /// Returns when a request must have its first event to count as in time for the service level.
     /// `None` for tenants above their share, and for requests that even an idle engine could not
-    /// serve in time, since they say nothing about the load.
+    /// serve in time, since they do not depend on the load.
     pub(super) fn service_level_due(
         &self,
         demand: &Demand,
--- a/crates/routing/src/dispatch/source.rs
+++ b/crates/routing/src/dispatch/source.rs
@@ -18,13 +18,14 @@
         self.contact
     }
 
-    /// Returns whether the last call of any router to the source was answered, as far as known
-    /// here.
+    /// Returns whether the last call of any router to the source was answered, by this router's
+    /// view of the fleet.
     pub fn is_source_answering(&self, now: Timestamp) -> bool {
         self.contact == SourceContact::Answered || self.fleet.is_source_answering(now)
     }
 
-    /// Returns whether the last call of any peer to the source was answered, as far as known here.
+    /// Returns whether the last call of any peer to the source was answered, by this router's view
+    /// of the fleet.
     pub fn others_reach_source(&self, now: Timestamp) -> bool {
         self.fleet.any_peer_reaches_source(now)
     }
