--- a/crates/routing/src/dispatch/fleet/mod.rs
+++ b/crates/routing/src/dispatch/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The other routers: who is there, and what they tell of engines, tenants and the source.
+//! The other routers of the fleet and the stats that they report.
 
 mod role;
 mod roster;
@@ -20,150 +20,145 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time between two rounds of messages.
+/// Interval between rounds of messages.
 pub const ROUND_PERIOD: Duration = Duration::from_millis(80);
-/// Silence after which figures no longer count: several rounds, so that single datagrams may be lost.
-const FIGURES_LIFE: Duration = Duration::from_millis(700);
-/// Least silence after which a peer no longer counts as a router that may spend budget.
-const LEAST_PEER_LIFE: Duration = Duration::from_secs(12);
-/// Heartbeats that may be lost before a peer is taken as gone.
-const HEARTBEATS_PER_LIFE: u32 = 3;
-/// Heartbeats that a router of a large fleet sends in a round.
+/// Age at which received stats expire: several rounds, because datagrams may be lost.
+const STATS_TTL: Duration = Duration::from_millis(700);
+/// Minimum silence after which a peer expires and no longer counts as a router that spends retry
+/// budget.
+const MIN_PEER_TTL: Duration = Duration::from_secs(12);
+/// Consecutive lost heartbeats after which a peer expires.
+const HEARTBEATS_PER_TTL: u32 = 3;
+/// Heartbeats that a router of a large fleet sends per round.
 const HEARTBEATS_PER_ROUND: usize = 2;
-/// Time without any router that reaches the source after which members try it: a failed call is repeated meanwhile.
-/// Without stand-ins a source that turned away three aggregators left 62 routers without any change for 9 s, by their
-/// logs.
-const STAND_IN_PATIENCE: Duration = Duration::from_millis(300);
-/// Time for which a router is not greeted again: it may be about to answer.
-const GREETING_PAUSE: Duration = Duration::from_secs(1);
+/// Time without any router reaching the source after which members try to. Leaves time for a failed
+/// call to be repeated.
+const FALLBACK_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after a hello during which no other one is sent to the same router.
+const HELLO_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// What a router tells of itself beside its figures.
+/// A router's own state as sent with every message, apart from its stats.
 #[derive(Debug, Clone)]
 pub struct OwnState {
-    /// Its zone.
     pub zone: String,
-    /// Whether it takes new callers.
     pub phase: RouterPhase,
-    /// Its part of a processor core.
+    /// CPU share, in cores.
     pub processor: f32,
-    /// What it knows of the source.
     pub contact: SourceContact,
     /// Version of its configuration, 0 if none.
     pub configuration: u64,
-    /// Revision of its back ends, the least if none.
+    /// Revision of its back ends, the lowest if none.
     pub back_ends: Revision,
-    /// Revision of its evacuated zones, the least if none.
+    /// Revision of its evacuated zones, the lowest if none.
     pub evacuations: Revision,
-    /// Revision of the orders for roll-outs that it knows, the least if none.
+    /// Revision of its roll-out orders, the lowest if none.
     pub rollouts: Revision,
 }
 
-/// Figures that no longer count, and those that do from now on.
+/// Stats to subtract from and to add to the engines' peer load.
 #[derive(Debug, Default)]
-pub struct FiguresChange {
-    /// What no longer counts.
+pub struct LoadStatsChange {
     pub removed: Vec<LoadStats>,
-    /// What counts now.
     pub added: Option<LoadStats>,
 }
 
-/// What became of a digest or a sum.
+/// The result of a received digest or sum.
 #[derive(Debug)]
-pub struct Heard {
-    /// What it changes.
-    pub change: FiguresChange,
-    /// Its sender, if it was not known before.
+pub struct ReceivedUpdate {
+    pub change: LoadStatsChange,
+    /// The sender, if it was not known before.
     pub new_peer: Option<NewPeer>,
 }
 
-/// A router that was heard for the first time.
+/// A peer from which the first message has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NewPeer {
     /// Its digest address.
     pub address: SocketAddr,
-    /// Whether it is to be greeted: it may not know this router.
+    /// Whether to send it a hello, since it may not know this router.
     pub needs_hello: bool,
 }
 
 #[derive(Debug)]
 struct Peer {
-    heard: Timestamp,
+    last_seen: Timestamp,
     state: RouterState,
-    /// It sent no sums although this router reported to it, and was not heard since.
+    /// Set when an expected aggregator sends no sums, until its next message.
     is_suspected: bool,
-    /// Its place among equals.
+    /// See [`tiebreak`].
     tiebreak: u64,
 }
 
-/// Whose figures are held here.
+/// The origin of received stats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum FiguresSource {
-    /// One router's own.
+enum StatsSource {
+    /// A single router.
     Router(SocketAddr),
-    /// Those of an aggregator and its members, at one part of the engines.
+    /// An aggregator and its members, for one part of the engines.
     Members(SocketAddr, u32),
-    /// Those of the whole fleet, as this router's aggregator tells them, at one part of the engines.
+    /// The whole fleet, as summed by this router's aggregator, for one part of the engines.
     Fleet(u32),
 }
 
 #[derive(Debug)]
-struct HeldFigures {
-    heard: Timestamp,
-    /// When the rates of tenants among them were told last; most messages leave them out.
-    rates_heard: Timestamp,
-    /// The message that told them last.
-    by: IncludedDigest,
+struct HeldStats {
+    received: Timestamp,
+    /// When tenant rates were received last; most messages omit them.
+    rates_received: Timestamp,
+    /// Identifies the message received last.
+    last_message: IncludedDigest,
     stats: LoadStats,
-    /// Parts into which the sender has split its figures.
+    /// Number of parts that the sender splits its stats into.
     parts: u32,
     source_answers: bool,
-    /// Routers whose figures these are, and those of them that shed.
+    /// Number of routers covered, and how many of them are shedding.
     routers: usize,
     shedding: usize,
-    /// Whether this router's own figures are part of them.
-    includes_me: bool,
+    /// Whether this router's own stats are included.
+    includes_self: bool,
 }
 
-/// What this router knows of the others.
+/// A router's view of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
     me: PeerId,
-    /// This router's place among equals.
+    /// See [`tiebreak`].
     tiebreak: u64,
     snapshots: SocketAddr,
     sequence: u64,
     round: u64,
     role: Role,
     peers: BTreeMap<SocketAddr, Peer>,
-    /// Routers among which duties are shared out.
+    /// Routers among which duties are divided.
     roster: BTreeMap<SocketAddr, RosterEntry>,
-    /// Whether the settings name any other router; taken as so until the first round tells.
+    /// Whether other routers are configured as seeds; assumed until the first round.
     has_seeds: bool,
-    held: BTreeMap<FiguresSource, HeldFigures>,
-    /// Routers that should send sums to this one, and when they did last, or else since when they should.
-    awaited: BTreeMap<SocketAddr, Timestamp>,
-    /// When sums of the fleet came last, or else when this router became a member.
-    sums_heard: Timestamp,
+    held: BTreeMap<StatsSource, HeldStats>,
+    /// Routers expected to send sums to this one, by address, with the time of the last sum or
+    /// since when one is expected.
+    expected_sums: BTreeMap<SocketAddr, Timestamp>,
+    /// Time of the last sum over the fleet, or when this router became a member.
+    last_fleet_sum: Timestamp,
     is_isolated: bool,
     /// Since when no router is known to reach the source.
-    source_lost: Option<Timestamp>,
-    /// Since when this router reaches the source when no other did.
-    stands_in_since: Option<Timestamp>,
-    /// Since when peers have something newer.
+    source_lost_since: Option<Timestamp>,
+    /// Since when this member follows the source as a fallback.
+    fallback_since: Option<Timestamp>,
+    /// Since when peers have newer state.
     behind_since: Option<Timestamp>,
     reports: VecDeque<(u64, Vec<EngineLoad>)>,
-    /// Messages of one round of its sums.
-    parts_of_members: SumParts,
-    parts_of_fleet: SumParts,
-    /// Routers that others have mentioned and that are not known.
-    mentioned: BTreeSet<SocketAddr>,
-    /// When routers were greeted lately.
-    greeted: BTreeMap<SocketAddr, Timestamp>,
-    others: PeerCapacity,
+    /// Number of messages that the sums of a round are split into.
+    member_sum_parts: SumParts,
+    fleet_sum_parts: SumParts,
+    /// Router addresses advertised by peers; known ones are filtered out when hellos are sent.
+    advertised: BTreeSet<SocketAddr>,
+    /// When a hello was last sent, by router.
+    hellos_sent: BTreeMap<SocketAddr, Timestamp>,
+    peer_capacity: PeerCapacity,
 }
 
 impl Fleet {
-    /// A router that has heard nobody yet.
+    /// Creates a fleet without peers.
     pub fn new(me: PeerId, snapshots: SocketAddr) -> Self {
         Self {
             me,
@@ -176,114 +171,114 @@
             roster: BTreeMap::new(),
             has_seeds: true,
             held: BTreeMap::new(),
-            awaited: BTreeMap::new(),
-            sums_heard: Timestamp::ZERO,
+            expected_sums: BTreeMap::new(),
+            last_fleet_sum: Timestamp::ZERO,
             is_isolated: false,
-            source_lost: None,
-            stands_in_since: None,
+            source_lost_since: None,
+            fallback_since: None,
             behind_since: None,
             reports: VecDeque::new(),
-            parts_of_members: SumParts::default(),
-            parts_of_fleet: SumParts::default(),
-            mentioned: BTreeSet::new(),
-            greeted: BTreeMap::new(),
-            others: PeerCapacity::default(),
+            member_sum_parts: SumParts::default(),
+            fleet_sum_parts: SumParts::default(),
+            advertised: BTreeSet::new(),
+            hellos_sent: BTreeMap::new(),
+            peer_capacity: PeerCapacity::default(),
         }
     }
 
-    /// Takes a digest; nothing for one of this router itself or one that is not newer than the last.
-    pub fn on_digest(&mut self, now: Timestamp, digest: Digest) -> Option<Heard> {
+    /// Handles a digest. Returns `None` for this router's own and for outdated ones.
+    pub fn on_digest(&mut self, now: Timestamp, digest: Digest) -> Option<ReceivedUpdate> {
         let sender = digest.router.id;
-        let by =
+        let last_message =
             IncludedDigest { incarnation: sender.incarnation, sequence: digest.router.sequence };
         let contact = digest.router.contact;
-        let mut change = FiguresChange::default();
-        let is_new_peer = self.hear(now, digest.router, &mut change)?;
-        self.mentioned.extend(digest.peers);
-        // Who is reported to aggregates, also if it would not have chosen itself.
+        let mut change = LoadStatsChange::default();
+        let is_new_peer = self.receive_state(now, digest.router, &mut change)?;
+        self.advertised.extend(digest.peers);
+        // A router that members report to aggregates, even if it is no aggregator in its own view.
         let source_answers = digest.is_member && contact == SourceContact::Answered;
-        let counts = digest.is_member == (self.role != Role::Mesh);
-        if let Some(stats) = digest.stats.filter(|_| counts) {
-            let held = HeldFigures {
-                heard: now,
-                rates_heard: now,
-                by,
+        let uses_stats = digest.is_member == (self.role != Role::Mesh);
+        if let Some(stats) = digest.stats.filter(|_| uses_stats) {
+            let held = HeldStats {
+                received: now,
+                rates_received: now,
+                last_message,
                 stats,
                 parts: 1,
                 source_answers,
                 routers: 1,
                 shedding: 0,
-                includes_me: false,
+                includes_self: false,
             };
-            self.hold(FiguresSource::Router(sender.address), held, &mut change);
+            self.store(StatsSource::Router(sender.address), held, &mut change);
         }
-        let new_peer = is_new_peer.then(|| self.note_new_peer(now, sender.address));
-        Some(Heard { change, new_peer })
+        let new_peer = is_new_peer.then(|| self.record_new_peer(now, sender.address));
+        Some(ReceivedUpdate { change, new_peer })
     }
 
-    /// Takes an aggregator's sums: as a member those of the fleet from its own aggregator, as an aggregator
-    /// those of the others' members.
-    pub fn on_sum(&mut self, now: Timestamp, sum: Sum) -> Option<Heard> {
+    /// Handles an aggregator's sum: a member uses the fleet sums of its aggregator, an aggregator
+    /// the member sums of the others. Returns `None` for outdated sums.
+    pub fn on_sum(&mut self, now: Timestamp, sum: Sum) -> Option<ReceivedUpdate> {
         let sender = sum.router.id;
-        let by = IncludedDigest { incarnation: sender.incarnation, sequence: sum.router.sequence };
-        let mut change = FiguresChange::default();
-        let is_new_peer = self.hear(now, sum.router, &mut change)?;
-        // One that was passed on may come from a router that does not know this one.
-        let new_peer = is_new_peer.then(|| self.note_new_peer(now, sender.address));
+        let last_message =
+            IncludedDigest { incarnation: sender.incarnation, sequence: sum.router.sequence };
+        let mut change = LoadStatsChange::default();
+        let is_new_peer = self.receive_state(now, sum.router, &mut change)?;
+        // The sender of a relayed sum may not know this router.
+        let new_peer = is_new_peer.then(|| self.record_new_peer(now, sender.address));
         let source = match (sum.scope, self.role) {
             (SumScope::Members, Role::Aggregator) => {
                 self.drop_held_where(&mut change, |source, held| match source {
-                    FiguresSource::Router(address) => address == sender.address,
-                    FiguresSource::Members(address, _) => {
+                    StatsSource::Router(address) => address == sender.address,
+                    StatsSource::Members(address, _) => {
                         address == sender.address && held.parts != sum.parts
                     }
-                    FiguresSource::Fleet(_) => true,
+                    StatsSource::Fleet(_) => true,
                 });
-                FiguresSource::Members(sender.address, sum.part)
+                StatsSource::Members(sender.address, sum.part)
             }
             (SumScope::Fleet, Role::Member(aggregator)) if aggregator == sender.address => {
-                self.sums_heard = now;
+                self.last_fleet_sum = now;
                 self.drop_held_where(&mut change, |source, held| {
-                    matches!(source, FiguresSource::Fleet(_)) && held.parts != sum.parts
+                    matches!(source, StatsSource::Fleet(_)) && held.parts != sum.parts
                 });
-                FiguresSource::Fleet(sum.part)
+                StatsSource::Fleet(sum.part)
             }
-            _ => return Some(Heard { change, new_peer }),
+            _ => return Some(ReceivedUpdate { change, new_peer }),
         };
-        if let Some(heard) = self.awaited.get_mut(&sender.address) {
-            *heard = now;
+        if let Some(last) = self.expected_sums.get_mut(&sender.address) {
+            *last = now;
         }
         let mine = sum.included.iter().find(|included| included.incarnation == self.me.incarnation);
         let stats = match mine.and_then(|mine| self.report(mine.sequence)) {
             Some(loads) => sum.stats.without_loads(loads),
             None => sum.stats,
         };
-        let held = HeldFigures {
-            heard: now,
-            rates_heard: now,
-            by,
+        let held = HeldStats {
+            received: now,
+            rates_received: now,
+            last_message,
             stats,
             parts: sum.parts,
             source_answers: sum.source_answers,
             routers: sum.included.len() + 1,
             shedding: sum.shedding as usize,
-            includes_me: mine.is_some(),
+            includes_self: mine.is_some(),
         };
-        self.hold(source, held, &mut change);
-        Some(Heard { change, new_peer })
+        self.store(source, held, &mut change);
+        Some(ReceivedUpdate { change, new_peer })
     }
 
-    /// Notes that a router was heard for the first time.
-    fn note_new_peer(&mut self, now: Timestamp, address: SocketAddr) -> NewPeer {
-        NewPeer { address, needs_hello: self.greeted.insert(address, now).is_none() }
+    fn record_new_peer(&mut self, now: Timestamp, address: SocketAddr) -> NewPeer {
+        NewPeer { address, needs_hello: self.hellos_sent.insert(address, now).is_none() }
     }
 
-    /// Notes a peer's state. Gives whether it was not known; nothing if the state is no news.
-    fn hear(
+    /// Stores a peer's state. Returns whether the peer is new, or `None` if the state is outdated.
+    fn receive_state(
         &mut self,
         now: Timestamp,
         state: RouterState,
-        change: &mut FiguresChange,
+        change: &mut LoadStatsChange,
     ) -> Option<bool> {
         let address = state.id.address;
         if address == self.me.address {
@@ -296,24 +291,24 @@
         }
         if is_new {
             self.drop_held(change, |source| {
-                matches!(source, FiguresSource::Router(held) | FiguresSource::Members(held, _) if held == address)
+                matches!(source, StatsSource::Router(origin) | StatsSource::Members(origin, _) if origin == address)
             });
         }
         let tiebreak =
             self.peers.get(&address).map_or_else(|| tiebreak(address), |peer| peer.tiebreak);
-        self.note_on_roster(now, &state, tiebreak);
-        self.peers.insert(address, Peer { heard: now, state, is_suspected: false, tiebreak });
+        self.update_roster(now, &state, tiebreak);
+        self.peers.insert(address, Peer { last_seen: now, state, is_suspected: false, tiebreak });
         Some(is_new)
     }
 
-    /// Takes newer figures of a source. What they leave out holds on and is no change.
-    fn hold(&mut self, source: FiguresSource, mut held: HeldFigures, change: &mut FiguresChange) {
+    /// Stores newer stats of a source. Those omitted by the message are kept.
+    fn store(&mut self, source: StatsSource, mut held: HeldStats, change: &mut LoadStatsChange) {
         change.added = Some(held.stats.clone());
         let has_tenant_rates = held.stats.has_tenant_rates();
         let mut stats = LoadStats::default();
         if let Some(earlier) = self.held.remove(&source) {
             if !has_tenant_rates {
-                held.rates_heard = earlier.rates_heard;
+                held.rates_received = earlier.rates_received;
             }
             stats = earlier.stats;
         }
@@ -325,46 +320,46 @@
 
     fn drop_held(
         &mut self,
-        change: &mut FiguresChange,
-        is_dropped: impl Fn(FiguresSource) -> bool,
+        change: &mut LoadStatsChange,
+        is_dropped: impl Fn(StatsSource) -> bool,
     ) {
         self.drop_held_where(change, |source, _| is_dropped(source));
     }
 
     fn drop_held_where(
         &mut self,
-        change: &mut FiguresChange,
-        is_dropped: impl Fn(FiguresSource, &HeldFigures) -> bool,
+        change: &mut LoadStatsChange,
+        is_dropped: impl Fn(StatsSource, &HeldStats) -> bool,
     ) {
         let dropped = self.held.iter().filter(|(source, held)| is_dropped(**source, held));
-        let dropped: Vec<FiguresSource> = dropped.map(|(source, _)| *source).collect();
+        let dropped: Vec<StatsSource> = dropped.map(|(source, _)| *source).collect();
         let dropped = dropped.iter().filter_map(|source| self.held.remove(source));
         change.removed.extend(dropped.map(|held| held.stats));
     }
 
-    /// The loads of a report that this router has sent.
+    /// Returns the loads of this router's report with a sequence number, or of the next one kept.
     fn report(&self, sequence: u64) -> Option<&[EngineLoad]> {
         let kept = self.reports.iter().find(|(kept, _)| *kept >= sequence);
         kept.map(|(_, loads)| loads.as_slice())
     }
 
-    /// Forgets silent peers and figures that are too old.
-    pub fn expire(&mut self, now: Timestamp) -> FiguresChange {
-        let mut change = FiguresChange::default();
-        let is_old = |held: &HeldFigures| now.since(held.heard) > FIGURES_LIFE;
-        let old: Vec<FiguresSource> =
+    /// Removes silent peers and expired stats.
+    pub fn expire(&mut self, now: Timestamp) -> LoadStatsChange {
+        let mut change = LoadStatsChange::default();
+        let is_old = |held: &HeldStats| now.since(held.received) > STATS_TTL;
+        let old: Vec<StatsSource> =
             self.held.iter().filter(|(_, held)| is_old(held)).map(|(source, _)| *source).collect();
         self.drop_held(&mut change, |source| old.contains(&source));
-        let life = self.peer_life();
-        self.peers.retain(|_, peer| now.since(peer.heard) <= life);
+        let ttl = self.peer_ttl();
+        self.peers.retain(|_, peer| now.since(peer.last_seen) <= ttl);
         self.expire_roster(now);
-        self.greeted.retain(|_, greeted| now.since(*greeted) <= GREETING_PAUSE);
+        self.hellos_sent.retain(|_, sent| now.since(*sent) <= HELLO_COOLDOWN);
         change
     }
 
-    /// Silence after which a peer is taken as gone.
-    fn peer_life(&self) -> Duration {
+    /// Returns the silence after which a peer expires.
+    fn peer_ttl(&self) -> Duration {
         let rounds = self.peers.len().div_ceil(HEARTBEATS_PER_ROUND) as u32;
-        LEAST_PEER_LIFE.max(ROUND_PERIOD * rounds * HEARTBEATS_PER_LIFE)
+        MIN_PEER_TTL.max(ROUND_PERIOD * rounds * HEARTBEATS_PER_TTL)
     }
 }
--- a/crates/routing/src/dispatch/peers.rs
+++ b/crates/routing/src/dispatch/peers.rs
@@ -1,7 +1,7 @@
-//! What a dispatcher tells other routers and takes from them.
+//! Messages to and from other routers.
 
 use super::Dispatcher;
-use super::fleet::{FiguresChange, NewPeer, OwnState};
+use super::fleet::{LoadStatsChange, NewPeer, OwnState};
 use crate::digest::{Digest, Outgoing, PeerMessage, RouterPhase, Sum};
 use crate::engine::{Engine, Load};
 use crate::load_stats::{EngineKey, EngineLoad, EngineServiceLevel, LoadStats};
@@ -10,13 +10,14 @@
 use std::net::SocketAddr;
 
 impl Dispatcher {
-    /// A message of another router has come that tells of itself or of sums. Gives that router if it was not known before.
+    /// Handles a message from another router. Returns the sender of a digest or sum if it is a new
+    /// peer.
     pub fn on_message(&mut self, now: Timestamp, message: PeerMessage) -> Option<NewPeer> {
         match message {
             PeerMessage::Digest(digest) => self.on_digest(now, digest),
             PeerMessage::Sum(sum) | PeerMessage::SumForZone(sum) => self.on_sum(now, sum),
-            PeerMessage::Draining(told) => {
-                for id in &told {
+            PeerMessage::Draining(ids) => {
+                for id in &ids {
                     self.on_draining_reported(now, id);
                 }
                 None
@@ -25,13 +26,13 @@
         }
     }
 
-    /// What this router passes on of a message that has come.
+    /// Returns the message that this router relays on receipt of `message`, if any.
     pub fn relayed_message(&self, message: &PeerMessage) -> Option<Outgoing> {
         match message {
             PeerMessage::SumForZone(sum) => self
                 .fleet
-                .passed_on(&self.limits.zone, sum)
-                .filter(|passed_on| !passed_on.targets.is_empty()),
+                .relayed_sum(&self.limits.zone, sum)
+                .filter(|relayed| !relayed.targets.is_empty()),
             PeerMessage::Digest(_)
             | PeerMessage::Sum(_)
             | PeerMessage::Ends(_)
@@ -39,33 +40,34 @@
         }
     }
 
-    /// A peer's digest has come. Gives the peer if it was not known before.
+    /// Handles a peer's digest. Returns the peer if it is new.
     pub fn on_digest(&mut self, now: Timestamp, digest: Digest) -> Option<NewPeer> {
-        let heard = self.fleet.on_digest(now, digest)?;
-        self.apply(heard.change);
-        heard.new_peer
+        let update = self.fleet.on_digest(now, digest)?;
+        self.apply_stats_change(update.change);
+        update.new_peer
     }
 
     fn on_sum(&mut self, now: Timestamp, sum: Sum) -> Option<NewPeer> {
-        let heard = self.fleet.on_sum(now, sum)?;
-        self.apply(heard.change);
-        heard.new_peer
+        let update = self.fleet.on_sum(now, sum)?;
+        self.apply_stats_change(update.change);
+        update.new_peer
     }
 
-    /// Forgets what peers that fell silent have at back ends.
+    /// Removes stats and peers that have expired.
     pub fn expire_peers(&mut self, now: Timestamp) {
         let expired = self.fleet.expire(now);
-        self.apply(expired);
+        self.apply_stats_change(expired);
     }
 
-    /// This router's own digest for all others of a small fleet.
+    /// Returns this router's digest for all peers of a mesh.
     pub fn digest(&mut self, now: Timestamp, phase: RouterPhase) -> Digest {
         let own = self.own_state(phase);
-        let stats = self.own_figures(now);
+        let stats = self.own_stats(now);
         self.fleet.digest(own, stats)
     }
 
-    /// What this router tells others now. `seeds` are called now and then, in case nobody else is known.
+    /// Returns the messages of one round. `seeds` are contacted periodically in case no peer is
+    /// known.
     pub fn next_round(
         &mut self,
         now: Timestamp,
@@ -76,9 +78,9 @@
         self.engines.retain_busy(|engine| engine.has_own_stats(now));
         let own = self.own_state(phase);
         let change = self.fleet.choose_role(now, &own);
-        self.apply(change);
-        let stats = if self.fleet.tells_slow_figures() {
-            self.own_figures(now)
+        self.apply_stats_change(change);
+        let stats = if self.fleet.includes_slow_stats() {
+            self.own_stats(now)
         } else {
             LoadStats {
                 loads: self.own_loads(now),
@@ -92,7 +94,7 @@
         messages
     }
 
-    /// The answer to a router that was not known before.
+    /// Returns the digest that introduces this router to a new peer.
     pub fn hello(&mut self, phase: RouterPhase) -> Digest {
         let own = self.own_state(phase);
         self.fleet.hello(own)
@@ -119,7 +121,7 @@
         loads
     }
 
-    fn own_figures(&mut self, now: Timestamp) -> LoadStats {
+    fn own_stats(&mut self, now: Timestamp) -> LoadStats {
         let service_levels =
             self.engines.busy().filter_map(|engine| engine.own_service_level(now)).collect();
         LoadStats {
@@ -127,28 +129,28 @@
             service_levels: Some(service_levels),
             tenants: Some(self.usage.reports(now)),
             heaviest: Vec::new(),
-            event_intervals: Some(self.unloaded_paces()),
+            event_intervals: Some(self.unloaded_event_intervals()),
             releases: self.rollouts.reports(),
         }
     }
 
-    /// Most loads are the same from one message to the next, so only those that differ are changed.
-    fn apply(&mut self, mut change: FiguresChange) {
+    /// Applies changed stats to the engines. Loads that are the same before and after are skipped.
+    fn apply_stats_change(&mut self, mut change: LoadStatsChange) {
         if let Some(added) = &mut change.added {
             for removed in &mut change.removed {
-                drop_common_loads(&mut removed.loads, &mut added.loads);
+                remove_common_loads(&mut removed.loads, &mut added.loads);
             }
         }
         for removed in &change.removed {
-            self.change_others(removed, Engine::remove_load, Engine::remove_service_level);
+            self.update_peer_stats(removed, Engine::remove_load, Engine::remove_service_level);
         }
         if let Some(added) = &change.added {
-            self.change_others(added, Engine::add_load, Engine::add_service_level);
+            self.update_peer_stats(added, Engine::add_load, Engine::add_service_level);
         }
     }
 
-    /// Adds what others told of back ends that this router did not know.
-    pub(super) fn add_told(&mut self, new: &HashSet<EngineKey>) {
+    /// Adds the stats that peers reported for back ends that were not listed until now.
+    pub(super) fn add_reported_stats(&mut self, new: &HashSet<EngineKey>) {
         for entry in self.fleet.loads().filter(|entry| new.contains(&entry.engine)) {
             if let Some(engine) = self.engines.by_key(entry.engine) {
                 engine.add_load(entry.load);
@@ -161,8 +163,8 @@
         }
     }
 
-    /// Changes what others have at engines by each of the figures.
-    fn change_others(
+    /// Applies a change to the peers' load and service level of each engine in `stats`.
+    fn update_peer_stats(
         &mut self,
         stats: &LoadStats,
         change_load: fn(&mut Engine, Load),
@@ -181,8 +183,9 @@
     }
 }
 
-/// Drops the entries that stand in both, each sorted by engine. What is not sorted stays, and is taken away and added again.
-fn drop_common_loads(left: &mut Vec<EngineLoad>, right: &mut Vec<EngineLoad>) {
+/// Removes entries that are in both lists, which are sorted by engine. Unsorted entries remain,
+/// which is harmless: they are removed from the engine and added again.
+fn remove_common_loads(left: &mut Vec<EngineLoad>, right: &mut Vec<EngineLoad>) {
     let mut others = std::mem::take(right).into_iter().peekable();
     left.retain(|entry| {
         while let Some(earlier) = others.next_if(|other| other.engine < entry.engine) {
