--- a/crates/routing/tests/announcements.rs
+++ b/crates/routing/tests/announcements.rs
@@ -335,7 +335,7 @@
     for size in [2, 7, 62, 120] {
         let mut fleet = Fleet::new(size);
         fleet.rounds(40);
-        fleet.lost_one_in = 19;
+        fleet.drop_every = 19;
         let now = fleet.now;
         let engine = BackEndId::from("e3");
         let first = fleet.routers.get_mut(&address(size / 2)).expect("known");
--- a/crates/routing/tests/cold_engines.rs
+++ b/crates/routing/tests/cold_engines.rs
@@ -193,7 +193,7 @@
     for (size, seeds) in [(8, 0..12), (62, 0..6), (295, 0..1)] {
         for seed in seeds {
             let mut scene = Scene::new(size, seed, Some(COLD_RATE));
-            scene.fleet.lost_one_in = 7;
+            scene.fleet.drop_every = 7;
             let arrivals = scene.play_cold(2, Trouble::KillsAndCuts);
             let most = arrivals.most_in_a_second;
             assert!(most <= ALLOWANCE, "{size} routers, seed {seed}: {most} in one second");
--- a/crates/routing/tests/directory.rs
+++ b/crates/routing/tests/directory.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use support::usable::Usable;
+use support::directory_view::DirectoryView;
 use support::{MODEL, at, back_end, list};
 
 /// Back ends that a history is about.
@@ -104,14 +104,14 @@
 }
 
 /// What a directory lists, as a router that knows nothing gets it.
-fn listed(one: &Usable) -> Vec<BackEnd> {
+fn listed(one: &DirectoryView) -> Vec<BackEnd> {
     one.directory.update_since(Revision::default()).listed
 }
 
 quickcheck! {
     fn all_come_to_the_same(acts: Vec<Act>) -> bool {
         let mut source = Source::default();
-        let (mut follower, mut other) = (Usable::default(), Usable::default());
+        let (mut follower, mut other) = (DirectoryView::default(), DirectoryView::default());
         let mut latest: BTreeMap<String, u64> = BTreeMap::new();
         for (step, act) in (1_u64..).zip(acts) {
             let now = at(step * 100);
@@ -121,15 +121,15 @@
                 Act::Follow if follower.revision().era == source.revision.era => {
                     let base = follower.revision();
                     if source.revision > base && base != Revision::default() {
-                        assert!(follower.offer(now, false, source.since(base)));
+                        assert!(follower.apply(now, false, source.since(base)));
                     }
                 }
                 Act::Follow | Act::List => {
-                    follower.offer(now, false, source.whole());
+                    follower.apply(now, false, source.whole());
                 }
                 Act::Ask => {
                     if follower.revision() > other.revision() {
-                        assert!(other.fetch(now, &follower));
+                        assert!(other.sync_from(now, &follower));
                     }
                     assert_eq!(listed(&other), listed(&follower));
                     assert_eq!(other.directory.ready(), follower.directory.ready());
@@ -149,14 +149,14 @@
 #[test]
 fn what_is_told_of_one_change_does_not_grow_with_the_list() {
     let told = [1_000, 2_000, 4_000].map(|count| {
-        let mut one = Usable::default();
-        assert!(one.offer(at(0), false, list(10, count, 8)));
+        let mut one = DirectoryView::default();
+        assert!(one.apply(at(0), false, list(10, count, 8)));
         let mut changed = back_end("e7", MODEL, 8);
         changed.state = BackEndState::Draining;
         let base = Some(10.into());
         let removed = vec![Arc::from("e9")];
         let update = BackEndUpdate { base, revision: 11.into(), listed: vec![changed], removed };
-        assert!(one.offer(at(10), false, update));
+        assert!(one.apply(at(10), false, update));
         let update = one.directory.update_since(10.into());
         assert_eq!(one.directory.update_since(11.into()).listed.len(), 0);
         assert_eq!(one.directory.update_since(9.into()).base, None);
@@ -168,21 +168,21 @@
 /// Changes after a revision that a router does not have say nothing about what came before.
 #[test]
 fn changes_with_a_gap_before_them_are_not_taken() {
-    let mut one = Usable::default();
+    let mut one = DirectoryView::default();
     let update = |base: u64, revision: u64| BackEndUpdate {
         base: Some(base.into()),
         revision: revision.into(),
         listed: vec![back_end("e1", MODEL, 8)],
         removed: Vec::new(),
     };
-    assert!(!one.offer(at(0), false, update(5, 6)));
-    assert!(one.offer(at(0), false, list(5, 1, 8)));
-    assert!(!one.offer(at(0), false, update(7, 9)));
-    assert!(one.offer(at(0), false, update(5, 7)));
-    assert!(one.offer(at(0), false, update(6, 9)));
+    assert!(!one.apply(at(0), false, update(5, 6)));
+    assert!(one.apply(at(0), false, list(5, 1, 8)));
+    assert!(!one.apply(at(0), false, update(7, 9)));
+    assert!(one.apply(at(0), false, update(5, 7)));
+    assert!(one.apply(at(0), false, update(6, 9)));
     let of_other_era = BackEndUpdate { revision: Revision::new(1, 3), ..update(9, 0) };
     assert!(
-        one.offer(at(0), false, of_other_era.clone())
+        one.apply(at(0), false, of_other_era.clone())
             == (of_other_era.base.map(|base| base.era) == Some(0))
     );
 }
--- a/crates/routing/tests/lapsed.rs
+++ b/crates/routing/tests/lapsed.rs
@@ -3,23 +3,23 @@
 mod support;
 
 use mastbay_routing::{BackEndList, BackEndState, OutageDetector, SourceContact};
-use support::usable::Usable;
+use support::directory_view::DirectoryView;
 use support::{at, list};
 
 /// What is used after one list and then another, right after an outage or not.
-fn after(recovering: bool, first: BackEndList, second: &BackEndList) -> Usable {
-    let mut usable = Usable::default();
-    assert!(usable.offer(at(0), recovering, first));
-    assert!(usable.offer(at(0), recovering, second.clone()));
+fn after(recovering: bool, first: BackEndList, second: &BackEndList) -> DirectoryView {
+    let mut usable = DirectoryView::default();
+    assert!(usable.apply(at(0), recovering, first));
+    assert!(usable.apply(at(0), recovering, second.clone()));
     usable
 }
 
 #[test]
 fn a_back_end_whose_entry_lapsed_in_an_outage_is_kept_until_it_is_back() {
     let mut usable = after(true, list(1, 4, 8), &list(2, 1, 8));
-    assert_eq!(usable.held.len(), 4);
-    assert!(usable.offer(at(500), true, list(3, 4, 8)));
-    assert_eq!(usable.held.len(), 4);
+    assert_eq!(usable.back_ends.len(), 4);
+    assert!(usable.apply(at(500), true, list(3, 4, 8)));
+    assert_eq!(usable.back_ends.len(), 4);
     assert!(!usable.expire(at(5_000)));
 }
 
@@ -28,19 +28,19 @@
     let mut usable = after(true, list(1, 4, 8), &list(2, 1, 8));
     assert!(!usable.expire(at(1_900)));
     assert!(usable.expire(at(2_100)));
-    assert_eq!(usable.held.len(), 1);
+    assert_eq!(usable.back_ends.len(), 1);
 }
 
 #[test]
 fn one_that_said_it_would_leave_is_not_kept() {
     let mut all = list(1, 2, 8);
     all.back_ends[1].state = BackEndState::Draining;
-    assert_eq!(after(true, all, &list(2, 1, 8)).held.len(), 1);
+    assert_eq!(after(true, all, &list(2, 1, 8)).back_ends.len(), 1);
 }
 
 #[test]
 fn without_an_outage_what_is_missing_is_gone() {
-    assert_eq!(after(false, list(1, 4, 8), &list(2, 1, 8)).held.len(), 1);
+    assert_eq!(after(false, list(1, 4, 8), &list(2, 1, 8)).back_ends.len(), 1);
 }
 
 #[test]
--- a/crates/routing/tests/large_fleet.rs
+++ b/crates/routing/tests/large_fleet.rs
@@ -34,11 +34,11 @@
 fn figures_of_a_large_fleet_hold_from_one_message_to_the_next() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(30);
-    fleet.start_one_at_each(0..60);
+    fleet.start_one_request_each(0..60);
     fleet.rounds(6);
     for _ in 0..40 {
         fleet.round();
-        assert_eq!(fleet.beliefs(), vec![60; 300], "at {:?}", fleet.now);
+        assert_eq!(fleet.known_running(), vec![60; 300], "at {:?}", fleet.now);
     }
 }
 
@@ -46,15 +46,15 @@
 fn what_ends_is_known_everywhere_within_four_rounds() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(30);
-    let tickets = fleet.start(250, 5);
+    let tickets = fleet.start_requests(250, 5);
     fleet.rounds(4);
-    assert_eq!(fleet.beliefs(), vec![5; 300]);
+    assert_eq!(fleet.known_running(), vec![5; 300]);
     let now = fleet.now;
     for ticket in tickets {
         fleet.router(250).on_end(now, ticket, Ok(()));
     }
     fleet.rounds(4);
-    assert_eq!(fleet.beliefs(), vec![0; 300]);
+    assert_eq!(fleet.known_running(), vec![0; 300]);
 }
 
 #[test]
@@ -85,7 +85,7 @@
 fn members_turn_to_another_aggregator_when_theirs_falls_silent() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
-    fleet.start_one_at_each(100..140);
+    fleet.start_one_request_each(100..140);
     fleet.rounds(5);
     let killed = fleet.aggregators();
     fleet.silent.extend(killed.iter().copied());
@@ -93,10 +93,10 @@
     let mut gaps = 0;
     for _ in 0..25 {
         fleet.round();
-        gaps += usize::from(fleet.beliefs()[0] < 30);
+        gaps += usize::from(fleet.known_running()[0] < 30);
     }
     assert!(gaps <= 3, "{gaps} rounds in which some router knew little of the others");
-    assert_eq!(fleet.beliefs(), vec![40; 295]);
+    assert_eq!(fleet.known_running(), vec![40; 295]);
     assert!(fleet.aggregators().iter().all(|aggregator| !killed.contains(aggregator)));
 }
 
@@ -105,10 +105,10 @@
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
     let cut = fleet.aggregators();
-    fleet.deaf_to.extend(cut.iter().copied());
-    fleet.start_one_at_each(100..140);
+    fleet.dropped_sum_senders.extend(cut.iter().copied());
+    fleet.start_one_request_each(100..140);
     fleet.rounds(30);
-    let median = fleet.beliefs()[150];
+    let median = fleet.known_running()[150];
     assert!((38..=44).contains(&median), "{median}");
 }
 
@@ -116,7 +116,7 @@
 fn a_paused_aggregator_does_not_bring_back_old_figures() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
-    let tickets = fleet.start(100, 5);
+    let tickets = fleet.start_requests(100, 5);
     fleet.rounds(5);
     let paused = fleet.aggregators();
     fleet.silent.extend(paused.iter().copied());
@@ -129,7 +129,7 @@
     fleet.silent.clear();
     for _ in 0..30 {
         fleet.round();
-        let most = fleet.beliefs().last().copied();
+        let most = fleet.known_running().last().copied();
         assert_eq!(most, Some(0), "at {:?}", fleet.now);
     }
 }
@@ -138,13 +138,13 @@
 fn a_fleet_that_starts_anew_forgets_the_earlier_lives() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
-    fleet.start_one_at_each(0..100);
+    fleet.start_one_request_each(0..100);
     fleet.rounds(5);
     for index in 0..300 {
         *fleet.router(index) = router(index, 2);
     }
     fleet.rounds(25);
-    assert_eq!(fleet.beliefs(), vec![0; 300]);
+    assert_eq!(fleet.known_running(), vec![0; 300]);
     assert_eq!(fleet.routers.values().map(Dispatcher::routers).min(), Some(300));
 }
 
@@ -178,10 +178,10 @@
     }
     fleet.rounds(12);
     for index in 0..300 {
-        assert_eq!(fleet.start(index, 1).len(), 1, "router {index}");
+        assert_eq!(fleet.start_requests(index, 1).len(), 1, "router {index}");
     }
     fleet.rounds(30);
-    assert_eq!(fleet.beliefs(), vec![300; 300]);
+    assert_eq!(fleet.known_running(), vec![300; 300]);
 }
 
 /// Right after a start, a router knows few of the others; it must not take the fleet's budget for that of a few.
@@ -243,14 +243,14 @@
 fn a_lost_datagram_in_twenty_does_little_harm() {
     let mut fleet = Fleet::new(120);
     fleet.rounds(40);
-    fleet.start_one_at_each(0..60);
+    fleet.start_one_request_each(0..60);
     fleet.rounds(6);
     // Prime, so that it is not the same target's datagram each round.
-    fleet.lost_one_in = 19;
+    fleet.drop_every = 19;
     for _ in 0..100 {
         fleet.round();
-        let beliefs = fleet.beliefs();
-        let median = beliefs[60];
+        let known_running = fleet.known_running();
+        let median = known_running[60];
         assert!((58..=63).contains(&median), "{median} at {:?}", fleet.now);
     }
 }
@@ -258,11 +258,11 @@
 #[test]
 fn repeated_datagrams_count_once() {
     let mut fleet = Fleet::new(120);
-    fleet.repeats = true;
+    fleet.duplicates = true;
     fleet.rounds(40);
-    fleet.start_one_at_each(0..60);
+    fleet.start_one_request_each(0..60);
     fleet.rounds(6);
-    assert_eq!(fleet.beliefs(), vec![60; 120]);
+    assert_eq!(fleet.known_running(), vec![60; 120]);
 }
 
 /// A fleet around the size at which aggregators begin, and one that has shrunk below it, counts all once.
@@ -270,19 +270,19 @@
 fn a_fleet_that_grows_and_shrinks_changes_the_way_it_tells_figures() {
     let mut fleet = Fleet::new(24);
     fleet.rounds(30);
-    fleet.start_one_at_each(0..24);
+    fleet.start_one_request_each(0..24);
     fleet.rounds(4);
-    assert_eq!(fleet.beliefs(), vec![24; 24]);
+    assert_eq!(fleet.known_running(), vec![24; 24]);
     for index in 24..40 {
         fleet.routers.insert(address(index), router(index, 1));
     }
     fleet.rounds(30);
-    assert_eq!(fleet.beliefs(), vec![24; 40]);
+    assert_eq!(fleet.known_running(), vec![24; 40]);
     assert!(!fleet.aggregators().is_empty());
     fleet.silent = (24..40).map(address).collect();
     // Peers are taken as gone after 12 s of silence.
     fleet.rounds(12 * 13 + 20);
-    assert_eq!(fleet.beliefs(), vec![24; 24]);
+    assert_eq!(fleet.known_running(), vec![24; 24]);
     assert!(fleet.aggregators().is_empty());
 }
 
@@ -290,18 +290,18 @@
 fn when_all_large_routers_of_a_zone_fall_silent_small_ones_aggregate() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
-    fleet.start_one_at_each(100..140);
+    fleet.start_one_request_each(100..140);
     fleet.rounds(5);
     fleet.silent = (0..3 * ZONES).map(address).collect();
     fleet.rounds(35);
-    assert_eq!(fleet.beliefs(), vec![40; 285]);
+    assert_eq!(fleet.known_running(), vec![40; 285]);
     assert_eq!(fleet.aggregators().len(), ZONES);
 }
 
 /// A sum over 3,000 engines does not fit a datagram: none would arrive, and all would take themselves as cut off.
 #[test]
 fn sums_over_thousands_of_engines_are_split() {
-    let mut fleet = Fleet::before(60, 3_000);
+    let mut fleet = Fleet::with_engines(60, 3_000);
     fleet.rounds(30);
     let mut placed = 0;
     for subject in 0..1_500 {
@@ -314,10 +314,10 @@
     fleet.rounds(6);
     for _ in 0..20 {
         fleet.round();
-        assert_eq!(fleet.beliefs(), vec![1_500; 60], "at {:?}", fleet.now);
+        assert_eq!(fleet.known_running(), vec![1_500; 60], "at {:?}", fleet.now);
     }
-    assert!(fleet.most_engines_told > 200, "{}", fleet.most_engines_told);
-    assert!(fleet.most_engines_told < 1_000, "{}", fleet.most_engines_told);
+    assert!(fleet.max_engines_per_sum > 200, "{}", fleet.max_engines_per_sum);
+    assert!(fleet.max_engines_per_sum < 1_000, "{}", fleet.max_engines_per_sum);
 }
 
 /// Found as CONFIG broken (shifted licpat, drawn day): the store turned away the aggregators of all three zones for nine seconds, and
@@ -391,7 +391,7 @@
 #[test]
 fn sums_are_split_by_what_they_tell() {
     let told = [1_000, 4_000].map(|engines| {
-        let mut fleet = Fleet::before(60, engines);
+        let mut fleet = Fleet::with_engines(60, engines);
         fleet.rounds(30);
         for subject in 0..200 {
             let now = fleet.now;
@@ -401,7 +401,7 @@
         fleet.rounds(10);
         let before = fleet.datagrams;
         fleet.rounds(20);
-        assert_eq!(fleet.beliefs(), vec![200; 60]);
+        assert_eq!(fleet.known_running(), vec![200; 60]);
         fleet.datagrams - before
     });
     assert!(told[1] <= told[0] + told[0] / 50, "{told:?} datagrams");
@@ -416,9 +416,9 @@
         fleet.rounds(70);
         let aggregators = fleet.aggregators().len();
         assert!(aggregators > ZONES, "{aggregators} of {size}");
-        fleet.between_zones = 0;
+        fleet.cross_zone_sums = 0;
         fleet.rounds(10);
-        let by_aggregator = fleet.between_zones as f64 / aggregators as f64 / 10.0;
+        let by_aggregator = fleet.cross_zone_sums as f64 / aggregators as f64 / 10.0;
         assert!(by_aggregator <= (ZONES - 1) as f64, "{by_aggregator} of {size}");
     }
 }
@@ -427,11 +427,11 @@
 fn what_other_zones_have_is_known_at_every_aggregator_of_a_zone() {
     let mut fleet = Fleet::new(350);
     fleet.rounds(70);
-    fleet.start_one_at_each(0..60);
+    fleet.start_one_request_each(0..60);
     fleet.rounds(6);
     for _ in 0..20 {
         fleet.round();
-        assert_eq!(fleet.beliefs(), vec![60; 350], "at {:?}", fleet.now);
+        assert_eq!(fleet.known_running(), vec![60; 350], "at {:?}", fleet.now);
     }
 }
 
@@ -440,7 +440,7 @@
 fn an_aggregator_that_dies_takes_no_zone_the_figures_of_others() {
     let mut fleet = Fleet::new(700);
     fleet.rounds(70);
-    fleet.start_one_at_each(300..340);
+    fleet.start_one_request_each(300..340);
     fleet.rounds(6);
     let mut dying = BTreeMap::new();
     dying.extend(fleet.aggregators().into_iter().map(|aggregator| (zone(aggregator), aggregator)));
@@ -449,22 +449,22 @@
     let mut gaps = 0;
     for _ in 0..25 {
         fleet.round();
-        gaps += usize::from(fleet.beliefs()[0] < 30);
+        gaps += usize::from(fleet.known_running()[0] < 30);
     }
     assert!(gaps <= 3, "{gaps} rounds in which some router knew little of the others");
-    assert_eq!(fleet.beliefs(), vec![40; 695]);
+    assert_eq!(fleet.known_running(), vec![40; 695]);
 }
 
 #[test]
 fn a_lost_datagram_in_twenty_does_little_harm_between_zones() {
     let mut fleet = Fleet::new(350);
     fleet.rounds(70);
-    fleet.start_one_at_each(0..60);
+    fleet.start_one_request_each(0..60);
     fleet.rounds(6);
-    fleet.lost_one_in = 19;
+    fleet.drop_every = 19;
     for _ in 0..50 {
         fleet.round();
-        let median = fleet.beliefs()[175];
+        let median = fleet.known_running()[175];
         assert!((58..=63).contains(&median), "{median} at {:?}", fleet.now);
     }
 }
@@ -481,13 +481,13 @@
     // A quarter of a second.
     for _ in 0..3 {
         fleet.round();
-        let asking = fleet.asking_other_zones();
+        let asking = fleet.fetching_from_other_zones();
         assert!(asking.iter().all(|router| aggregators.contains(router)), "{asking:?}");
     }
-    assert_eq!(fleet.asking_other_zones().len(), aggregators.len() - 1);
+    assert_eq!(fleet.fetching_from_other_zones().len(), aggregators.len() - 1);
     // No aggregator gets it.
     fleet.rounds(6);
-    assert!(fleet.asking_other_zones().len() > aggregators.len());
+    assert!(fleet.fetching_from_other_zones().len() > aggregators.len());
 }
 
 /// Whether the source answers a router: it turns away all aggregators and one router in so many.
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -9,7 +9,7 @@
 use mastbay_types::Timestamp;
 use quickcheck::{TestResult, quickcheck};
 use std::time::Duration;
-use support::usable::Usable;
+use support::directory_view::DirectoryView;
 use support::{demand, dispatcher, exchange_digests, list, prompt};
 
 const ENGINES: usize = 1;
@@ -118,13 +118,13 @@
 
 #[test]
 fn a_later_life_takes_the_place_of_one_whose_entry_lapsed() {
-    let mut usable = Usable::default();
-    assert!(usable.offer(at(0), true, list_of_life(1, 1_000)));
-    assert!(usable.offer(at(0), true, BackEndList { revision: 2.into(), back_ends: Vec::new() }));
-    assert_eq!(usable.held.len(), ENGINES);
-    assert!(usable.offer(at(0), true, list_of_life(3, 2_000)));
-    assert!(usable.held.keys().all(|id| id.incarnation == 2_000));
-    assert_eq!(usable.held.len(), ENGINES);
+    let mut usable = DirectoryView::default();
+    assert!(usable.apply(at(0), true, list_of_life(1, 1_000)));
+    assert!(usable.apply(at(0), true, BackEndList { revision: 2.into(), back_ends: Vec::new() }));
+    assert_eq!(usable.back_ends.len(), ENGINES);
+    assert!(usable.apply(at(0), true, list_of_life(3, 2_000)));
+    assert!(usable.back_ends.keys().all(|id| id.incarnation == 2_000));
+    assert_eq!(usable.back_ends.len(), ENGINES);
 }
 
 fn entry(name: u8, incarnation: u8) -> BackEnd {
@@ -143,13 +143,13 @@
 quickcheck! {
     /// Whatever lists come, none names a life earlier than one that any list before it named.
     fn no_list_goes_back_to_an_earlier_life(lists: Vec<Vec<(u8, u8)>>) -> TestResult {
-        let mut usable = Usable::default();
+        let mut usable = DirectoryView::default();
         let mut latest = [0_u64; 3];
         for (revision, entries) in (1_u64..).zip(&lists) {
             let back_ends = entries.iter().map(|(name, incarnation)| entry(*name, *incarnation)).collect();
             let list = BackEndList { revision: revision.into(), back_ends };
-            usable.offer(at(revision), false, list);
-            for id in usable.held.keys() {
+            usable.apply(at(revision), false, list);
+            for id in usable.back_ends.keys() {
                 let name: usize = id.name[1..].parse().expect("a number");
                 if id.incarnation < latest[name] {
                     return TestResult::failed();
--- a/crates/routing/tests/restored.rs
+++ b/crates/routing/tests/restored.rs
@@ -7,7 +7,7 @@
     RouterPhase, SourceContact,
 };
 use quickcheck::quickcheck;
-use support::usable::Usable;
+use support::directory_view::DirectoryView;
 use support::{MODEL, at, back_end, dispatcher};
 
 /// When the source is back.
@@ -44,12 +44,12 @@
 #[test]
 fn back_ends_that_left_before_the_restore_get_nothing_for_a_while() {
     use BackEndState::{Draining, Ready};
-    let mut usable = Usable::default();
+    let mut usable = DirectoryView::default();
     let all = [("gone", Ready), ("leaving", Ready), ("staying", Ready)];
-    usable.offer(at(0), false, of(Revision::new(0, 50), &all));
+    usable.apply(at(0), false, of(Revision::new(0, 50), &all));
     let left = [("leaving", Draining), ("staying", Ready)];
-    usable.offer(at(8_000), false, of(Revision::new(0, 60), &left));
-    usable.offer(at(RESTORED), false, of(Revision::new(1, 50), &all));
+    usable.apply(at(8_000), false, of(Revision::new(0, 60), &left));
+    usable.apply(at(RESTORED), false, of(Revision::new(1, 50), &all));
     assert_eq!(usable.ready(), ["staying"]);
     assert!(!usable.expire(at(RESTORED + 5_900)));
     assert!(usable.expire(at(RESTORED + 6_000)));
@@ -60,15 +60,15 @@
 #[test]
 fn back_ends_that_the_copy_lacks_are_kept_for_a_moment() {
     use BackEndState::Ready;
-    let mut usable = Usable::default();
-    usable.offer(at(0), false, of(Revision::new(0, 50), &[("old", Ready), ("young", Ready)]));
-    usable.offer(at(RESTORED), false, of(Revision::new(1, 20), &[("old", Ready)]));
+    let mut usable = DirectoryView::default();
+    usable.apply(at(0), false, of(Revision::new(0, 50), &[("old", Ready), ("young", Ready)]));
+    usable.apply(at(RESTORED), false, of(Revision::new(1, 20), &[("old", Ready)]));
     assert_eq!(usable.ready().len(), 2);
     let base = Some(Revision::new(1, 20));
     let listed = of(Revision::default(), &[("young", Ready)]).back_ends;
     let update =
         BackEndUpdate { base, revision: Revision::new(1, 21), listed, removed: Vec::new() };
-    usable.offer(at(RESTORED + 1_200), false, update);
+    usable.apply(at(RESTORED + 1_200), false, update);
     usable.expire(at(RESTORED + 20_000));
     assert_eq!(usable.ready().len(), 2);
 }
--- a/crates/routing/tests/support/usable.rs
+++ b/crates/routing/tests/support/directory_view.rs
@@ -8,14 +8,14 @@
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-pub struct Usable {
+pub struct DirectoryView {
     pub directory: BackEndDirectory,
-    pub held: BTreeMap<BackEndId, BackEnd>,
+    pub back_ends: BTreeMap<BackEndId, BackEnd>,
 }
 
-impl Usable {
+impl DirectoryView {
     /// Offers an update. Gives whether it was taken.
-    pub fn offer(
+    pub fn apply(
         &mut self,
         now: Timestamp,
         recovering: bool,
@@ -36,22 +36,22 @@
     }
 
     /// Takes what a peer has that is newer.
-    pub fn fetch(&mut self, now: Timestamp, peer: &Self) -> bool {
+    pub fn sync_from(&mut self, now: Timestamp, peer: &Self) -> bool {
         let known = self.directory.revision().unwrap_or_default();
-        self.offer(now, false, peer.directory.update_since(known))
+        self.apply(now, false, peer.directory.update_since(known))
     }
 
     fn take(&mut self, changes: Option<UsableChanges>) {
         let changes = changes.unwrap_or_default();
         changes.removed.iter().for_each(|id| {
-            self.held.remove(id);
+            self.back_ends.remove(id);
         });
-        self.held.extend(changes.updated.into_iter().map(|one| (one.id.clone(), one)));
+        self.back_ends.extend(changes.updated.into_iter().map(|one| (one.id.clone(), one)));
     }
 
     /// The names of those that take work.
     pub fn ready(&self) -> Vec<String> {
-        let ready = self.held.values().filter(|one| one.state == BackEndState::Ready);
+        let ready = self.back_ends.values().filter(|one| one.state == BackEndState::Ready);
         ready.map(|one| one.id.to_string()).collect()
     }
 
--- a/crates/routing/tests/support/fleet.rs
+++ b/crates/routing/tests/support/fleet.rs
@@ -25,19 +25,19 @@
     /// Routers that neither send nor receive.
     pub silent: BTreeSet<SocketAddr>,
     /// Senders whose sums are lost.
-    pub deaf_to: BTreeSet<SocketAddr>,
+    pub dropped_sum_senders: BTreeSet<SocketAddr>,
     /// One datagram in this many is lost, none if 0.
-    pub lost_one_in: u64,
+    pub drop_every: u64,
     /// Whether each datagram comes twice.
-    pub repeats: bool,
+    pub duplicates: bool,
     pub seeds: Vec<SocketAddr>,
     pub datagrams: u64,
     /// Sums that went from one zone to another.
-    pub between_zones: u64,
+    pub cross_zone_sums: u64,
     /// Most engines in one sum so far.
-    pub most_engines_told: usize,
+    pub max_engines_per_sum: usize,
     /// When routers started again, where they did.
-    pub restarted: BTreeMap<SocketAddr, Timestamp>,
+    pub restarted_at: BTreeMap<SocketAddr, Timestamp>,
 }
 
 pub fn address(index: usize) -> SocketAddr {
@@ -53,10 +53,10 @@
 }
 
 pub fn router(index: usize, incarnation: u64) -> Dispatcher {
-    router_before(index, incarnation, ENGINES)
+    router_with_engines(index, incarnation, ENGINES)
 }
 
-pub fn router_before(index: usize, incarnation: u64, engines: usize) -> Dispatcher {
+pub fn router_with_engines(index: usize, incarnation: u64, engines: usize) -> Dispatcher {
     let is_large = index / ZONES < 3;
     let limits = DispatcherLimits {
         zone: format!("z{}", index % ZONES),
@@ -73,23 +73,23 @@
 
 impl Fleet {
     pub fn new(size: usize) -> Self {
-        Self::before(size, ENGINES)
+        Self::with_engines(size, ENGINES)
     }
 
-    pub fn before(size: usize, engines: usize) -> Self {
-        let router = |index| (address(index), router_before(index, 1, engines));
+    pub fn with_engines(size: usize, engines: usize) -> Self {
+        let router = |index| (address(index), router_with_engines(index, 1, engines));
         Self {
             now: Timestamp::ZERO,
             routers: (0..size).map(router).collect(),
-            most_engines_told: 0,
-            restarted: BTreeMap::new(),
+            max_engines_per_sum: 0,
+            restarted_at: BTreeMap::new(),
             silent: BTreeSet::new(),
-            deaf_to: BTreeSet::new(),
-            lost_one_in: 0,
-            repeats: false,
+            dropped_sum_senders: BTreeSet::new(),
+            drop_every: 0,
+            duplicates: false,
             seeds: (0..3).map(address).collect(),
             datagrams: 0,
-            between_zones: 0,
+            cross_zone_sums: 0,
         }
     }
 
@@ -114,13 +114,13 @@
 
     /// The time of a router's own clock, which begins with its life.
     pub fn clock(&self, address: SocketAddr) -> Timestamp {
-        let started = self.restarted.get(&address).copied().unwrap_or(Timestamp::ZERO);
+        let started = self.restarted_at.get(&address).copied().unwrap_or(Timestamp::ZERO);
         Timestamp::ZERO + self.now.since(started)
     }
 
     /// Another life of a router, which knows nothing, in place of the one that ran.
     pub fn restart(&mut self, address: SocketAddr, router: Dispatcher) {
-        self.restarted.insert(address, self.now);
+        self.restarted_at.insert(address, self.now);
         self.routers.insert(address, router);
     }
 
@@ -148,14 +148,14 @@
     ) -> Vec<Outgoing> {
         self.datagrams += 1;
         let is_sum = matches!(message, PeerMessage::Sum(_) | PeerMessage::SumForZone(_));
-        self.between_zones += u64::from(is_sum && zone(sender) != zone(target));
+        self.cross_zone_sums += u64::from(is_sum && zone(sender) != zone(target));
         if let PeerMessage::Sum(sum) | PeerMessage::SumForZone(sum) = message {
             let service_levels = sum.stats.service_levels.as_ref().map_or(0, Vec::len);
             let told = sum.stats.loads.len().max(service_levels);
-            self.most_engines_told = self.most_engines_told.max(told);
+            self.max_engines_per_sum = self.max_engines_per_sum.max(told);
         }
-        let is_lost = self.lost_one_in > 0 && self.datagrams.is_multiple_of(self.lost_one_in);
-        let is_unheard = is_sum && self.deaf_to.contains(&sender);
+        let is_lost = self.drop_every > 0 && self.datagrams.is_multiple_of(self.drop_every);
+        let is_unheard = is_sum && self.dropped_sum_senders.contains(&sender);
         if is_lost || is_unheard || self.silent.contains(&target) {
             return Vec::new();
         }
@@ -163,7 +163,7 @@
         let Some(router) = self.routers.get_mut(&target) else { return Vec::new() };
         let mut following: Vec<Outgoing> = router.relayed_message(message).into_iter().collect();
         let new_peer = router.on_message(heard, message.clone());
-        if self.repeats {
+        if self.duplicates {
             assert_eq!(router.on_message(heard, message.clone()), None);
         }
         if let Some(new_peer) = new_peer.filter(|new_peer| new_peer.needs_hello) {
@@ -178,7 +178,7 @@
     }
 
     /// Starts requests at one router, all for the same shared prefix. Gives those that were placed.
-    pub fn start(&mut self, index: usize, count: u64) -> Vec<TicketId> {
+    pub fn start_requests(&mut self, index: usize, count: u64) -> Vec<TicketId> {
         let now = self.now;
         let router = self.router(index);
         let place = |own| match router.admit(now, demand(now, Some(prompt(1, own, 10)), "t"), 0.5) {
@@ -189,24 +189,24 @@
     }
 
     /// Starts one request at each of some routers; all must be placed.
-    pub fn start_one_at_each(&mut self, routers: Range<usize>) {
+    pub fn start_one_request_each(&mut self, routers: Range<usize>) {
         for index in routers {
-            assert_eq!(self.start(index, 1).len(), 1);
+            assert_eq!(self.start_requests(index, 1).len(), 1);
         }
     }
 
     /// What the routers that are not silent believe, from the least to the most.
-    pub fn beliefs(&mut self) -> Vec<u32> {
+    pub fn known_running(&mut self) -> Vec<u32> {
         let silent = self.silent.clone();
         let living = self.routers.iter().filter(|(address, _)| !silent.contains(address));
-        let mut beliefs: Vec<u32> =
+        let mut known_running: Vec<u32> =
             living.map(|(_, router)| router.loads().map(|load| load.running).sum()).collect();
-        beliefs.sort_unstable();
-        beliefs
+        known_running.sort_unstable();
+        known_running
     }
 
     /// Routers that would ask one of another zone for what is new.
-    pub fn asking_other_zones(&self) -> Vec<SocketAddr> {
+    pub fn fetching_from_other_zones(&self) -> Vec<SocketAddr> {
         let asks = |(address, router): (&SocketAddr, &Dispatcher)| {
             let asked = router.newer_snapshot_address(self.now, 0.5)?;
             (zone(asked) != zone(*address)).then_some(*address)
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,8 +1,8 @@
 //! Builders for tests of the routing decisions.
 #![allow(dead_code, missing_docs)]
 
+pub mod directory_view;
 pub mod fleet;
-pub mod usable;
 
 use mastbay_routing::{
     AllowedRegions, BackEnd, BackEndId, BackEndList, BackEndState, BudgetLimits, Demand, Digest,
