--- a/crates/routing/tests/large_fleet.rs
+++ b/crates/routing/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets in which aggregators add up the figures of the others: 300 routers in five zones.
+//! Large fleets, in which aggregators distribute sums of the load statistics of all routers.
 
 mod support;
 
@@ -16,22 +16,24 @@
 fn all_routers_of_a_large_fleet_know_each_other_soon_after_their_start() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(25);
-    let fewest = fleet.routers.values().map(Dispatcher::routers).min();
-    assert_eq!(fewest, Some(300));
+    let min_known = fleet.routers.values().map(Dispatcher::routers).min();
+    assert_eq!(min_known, Some(300));
 }
 
-/// On the bench, routers that had just started greeted each other for ten seconds and did little else: every message
-/// mentions routers, and each unknown one was greeted every time.
+/// Guards against a hello for every mention of a router that is not known yet.
 #[test]
-fn getting_to_know_a_large_fleet_takes_few_greetings() {
+fn discovery_of_a_large_fleet_takes_few_hellos() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(25);
-    let by_router = fleet.datagrams / 300;
-    assert!(by_router <= 2 * 300, "{by_router} datagrams a router in the first two seconds");
+    let datagrams_per_router = fleet.datagrams / 300;
+    assert!(
+        datagrams_per_router <= 2 * 300,
+        "{datagrams_per_router} datagrams a router in the first two seconds"
+    );
 }
 
 #[test]
-fn figures_of_a_large_fleet_hold_from_one_message_to_the_next() {
+fn load_stats_of_a_large_fleet_stay_constant_between_messages() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(30);
     fleet.start_one_request_each(0..60);
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn what_ends_is_known_everywhere_within_four_rounds() {
+fn ended_requests_are_known_everywhere_within_four_rounds() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(30);
     let tickets = fleet.start_requests(250, 5);
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn what_a_router_sends_does_not_grow_with_the_fleet() {
+fn datagrams_per_router_do_not_grow_with_the_fleet() {
     let datagrams_per_router = |size: usize| {
         let mut fleet = Fleet::new(size);
         fleet.rounds(60);
@@ -82,14 +84,14 @@
 }
 
 #[test]
-fn members_turn_to_another_aggregator_when_theirs_falls_silent() {
+fn members_switch_to_another_aggregator_when_theirs_falls_silent() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
     fleet.start_one_request_each(100..140);
     fleet.rounds(5);
-    let killed = fleet.aggregators();
-    fleet.silent.extend(killed.iter().copied());
-    // Each zone finds its next aggregator, and these find each other, before the last sums are too old.
+    let silenced = fleet.aggregators();
+    fleet.silent.extend(silenced.iter().copied());
+    // Each zone elects its next aggregator, and these find each other, before the last sums expire.
     let mut gaps = 0;
     for _ in 0..25 {
         fleet.round();
@@ -97,15 +99,15 @@
     }
     assert!(gaps <= 3, "{gaps} rounds in which some router knew little of the others");
     assert_eq!(fleet.known_running(), vec![40; 295]);
-    assert!(fleet.aggregators().iter().all(|aggregator| !killed.contains(aggregator)));
+    assert!(fleet.aggregators().iter().all(|aggregator| !silenced.contains(aggregator)));
 }
 
 #[test]
 fn members_leave_an_aggregator_whose_sums_do_not_reach_them() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
-    let cut = fleet.aggregators();
-    fleet.dropped_sum_senders.extend(cut.iter().copied());
+    let unreachable = fleet.aggregators();
+    fleet.dropped_sum_senders.extend(unreachable.iter().copied());
     fleet.start_one_request_each(100..140);
     fleet.rounds(30);
     let median = fleet.known_running()[150];
@@ -113,7 +115,7 @@
 }
 
 #[test]
-fn a_paused_aggregator_does_not_bring_back_old_figures() {
+fn a_paused_aggregator_does_not_bring_back_old_load_stats() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
     let tickets = fleet.start_requests(100, 5);
@@ -129,13 +131,13 @@
     fleet.silent.clear();
     for _ in 0..30 {
         fleet.round();
-        let most = fleet.known_running().last().copied();
-        assert_eq!(most, Some(0), "at {:?}", fleet.now);
+        let max_running = fleet.known_running().last().copied();
+        assert_eq!(max_running, Some(0), "at {:?}", fleet.now);
     }
 }
 
 #[test]
-fn a_fleet_that_starts_anew_forgets_the_earlier_lives() {
+fn a_restarted_fleet_discards_the_earlier_incarnations() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
     fleet.start_one_request_each(0..100);
@@ -149,22 +151,23 @@
 }
 
 #[test]
-fn few_routers_of_a_large_fleet_follow_the_source() {
+fn few_routers_of_a_large_fleet_watch_the_source() {
     let mut fleet = Fleet::new(300);
     for _ in 0..60 {
         fleet.round();
         let now = fleet.now;
         for router in fleet.routers.values_mut() {
-            let follows = router.watches_source(now);
-            let contact = if follows { SourceContact::Answered } else { SourceContact::Idle };
+            let watches_source = router.watches_source(now);
+            let contact =
+                if watches_source { SourceContact::Answered } else { SourceContact::Idle };
             router.on_source_contact(contact);
         }
     }
     for _ in 0..60 {
         fleet.round();
         let now = fleet.now;
-        let follow = fleet.routers.values().filter(|router| router.watches_source(now)).count();
-        assert_eq!(follow, 3, "at {now:?}");
+        let watching = fleet.routers.values().filter(|router| router.watches_source(now)).count();
+        assert_eq!(watching, 3, "at {now:?}");
         assert!(fleet.routers.values().all(|router| router.is_source_answering(now)));
     }
 }
@@ -184,21 +187,22 @@
     assert_eq!(fleet.known_running(), vec![300; 300]);
 }
 
-/// Right after a start, a router knows few of the others; it must not take the fleet's budget for that of a few.
+/// Guards against dividing the retry budget by the few peers that a router knows right after its
+/// start instead of by the fleet size that they report.
 #[test]
-fn a_newcomer_takes_its_part_of_the_budget_of_the_whole_fleet() {
+fn a_new_router_takes_its_share_of_the_retry_budget_of_the_whole_fleet() {
     let mut seed = router(0, 1).hello(RouterPhase::Serving);
     seed.router.routers = 300;
-    let mut newcomer = router(7, 1);
-    newcomer.on_digest(Timestamp::from_millis(5), seed);
-    let left = newcomer.retries_left(Timestamp::from_millis(10), support::MODEL);
-    assert_eq!(left, 0, "second sends of a burst of 10 for 300 routers");
+    let mut new_router = router(7, 1);
+    new_router.on_digest(Timestamp::from_millis(5), seed);
+    let left = new_router.retries_left(Timestamp::from_millis(10), support::MODEL);
+    assert_eq!(left, 0, "retries of a burst of 10 for 300 routers");
 }
 
-/// Levels are told in one report of eight. Taking those that hold on out and in again with each report was most of an
-/// aggregator's work: they are many times as many as the loads.
+/// Service levels are sent in one report of eight; the other reports must not remove and add them
+/// again.
 #[test]
-fn what_a_report_leaves_out_holds_on_and_is_no_change() {
+fn service_levels_missing_in_a_report_are_kept_and_are_no_change() {
     let key = |name: &str| EngineKey::from(&BackEndId::from(name));
     let load =
         |running| EngineLoad { engine: key("e0"), load: Load { running, ..Load::default() } };
@@ -207,23 +211,23 @@
         limits: LimitSum::of(Some(7.0)),
         level: ServiceLevelCounts::default(),
     };
-    let mut held = LoadStats { service_levels: Some(vec![level]), ..LoadStats::default() };
-    let replaced = held.replace(LoadStats { loads: vec![load(3)], ..LoadStats::default() });
+    let mut stats = LoadStats { service_levels: Some(vec![level]), ..LoadStats::default() };
+    let replaced = stats.replace(LoadStats { loads: vec![load(3)], ..LoadStats::default() });
     assert_eq!(replaced, LoadStats::default(), "no level is replaced");
     assert_eq!(
-        (held.loads.as_slice(), held.service_levels.as_deref()),
+        (stats.loads.as_slice(), stats.service_levels.as_deref()),
         ([load(3)].as_slice(), Some([level].as_slice()))
     );
     let replaced =
-        held.replace(LoadStats { service_levels: Some(Vec::new()), ..LoadStats::default() });
+        stats.replace(LoadStats { service_levels: Some(Vec::new()), ..LoadStats::default() });
     assert_eq!((replaced.loads, replaced.service_levels), (vec![load(3)], Some(vec![level])));
 }
 
-/// A mesh tells of tenants in one digest of four, through rounds as well as through single digests.
+/// Digests of a full mesh carry tenants and service levels once in four rounds.
 #[test]
-fn rounds_of_a_mesh_tell_of_tenants_now_and_then() {
+fn rounds_of_a_mesh_carry_tenants_in_one_digest_of_four() {
     let mut router = router(0, 1);
-    let tells_of_tenants = |round: u64| {
+    let has_tenants = |round: u64| {
         let now = Timestamp::from_millis(80 * round);
         let messages = router.next_round(now, RouterPhase::Serving, &[address(1)]);
         let stats = messages.into_iter().find_map(|outgoing| match outgoing.message {
@@ -235,17 +239,17 @@
         });
         stats.is_some_and(|stats| stats.service_levels.is_some() && stats.tenants.is_some())
     };
-    let told: Vec<bool> = (0..8).map(tells_of_tenants).collect();
-    assert_eq!(told, [true, false, false, false, true, false, false, false]);
+    let with_tenants: Vec<bool> = (0..8).map(has_tenants).collect();
+    assert_eq!(with_tenants, [true, false, false, false, true, false, false, false]);
 }
 
 #[test]
-fn a_lost_datagram_in_twenty_does_little_harm() {
+fn load_stats_tolerate_the_loss_of_one_datagram_in_twenty() {
     let mut fleet = Fleet::new(120);
     fleet.rounds(40);
     fleet.start_one_request_each(0..60);
     fleet.rounds(6);
-    // Prime, so that it is not the same target's datagram each round.
+    // A prime, so that the drops affect another target in each round.
     fleet.drop_every = 19;
     for _ in 0..100 {
         fleet.round();
@@ -265,9 +269,10 @@
     assert_eq!(fleet.known_running(), vec![60; 120]);
 }
 
-/// A fleet around the size at which aggregators begin, and one that has shrunk below it, counts all once.
+/// Guards against requests counted twice or not at all when the fleet crosses the size from which
+/// it uses aggregators.
 #[test]
-fn a_fleet_that_grows_and_shrinks_changes_the_way_it_tells_figures() {
+fn a_fleet_that_grows_and_shrinks_switches_between_mesh_and_aggregators() {
     let mut fleet = Fleet::new(24);
     fleet.rounds(30);
     fleet.start_one_request_each(0..24);
@@ -280,7 +285,7 @@
     assert_eq!(fleet.known_running(), vec![24; 40]);
     assert!(!fleet.aggregators().is_empty());
     fleet.silent = (24..40).map(address).collect();
-    // Peers are taken as gone after 12 s of silence.
+    // Peers expire after 12 s of silence.
     fleet.rounds(12 * 13 + 20);
     assert_eq!(fleet.known_running(), vec![24; 24]);
     assert!(fleet.aggregators().is_empty());
@@ -298,17 +303,17 @@
     assert_eq!(fleet.aggregators().len(), ZONES);
 }
 
-/// A sum over 3,000 engines does not fit a datagram: none would arrive, and all would take themselves as cut off.
+/// Guards against sums that do not fit a datagram, as one over 3,000 engines.
 #[test]
 fn sums_over_thousands_of_engines_are_split() {
     let mut fleet = Fleet::with_engines(60, 3_000);
     fleet.rounds(30);
     let mut placed = 0;
-    for subject in 0..1_500 {
+    for prefix in 0..1_500 {
         let now = fleet.now;
-        let router = fleet.router(subject as usize % 60);
-        let asked = demand(now, Some(prompt(subject, subject, 10)), "t");
-        placed += u32::from(matches!(router.admit(now, asked, 0.5), Admission::Placed(_)));
+        let router = fleet.router(prefix as usize % 60);
+        let request = demand(now, Some(prompt(prefix, prefix, 10)), "t");
+        placed += u32::from(matches!(router.admit(now, request, 0.5), Admission::Placed(_)));
     }
     assert_eq!(placed, 1_500);
     fleet.rounds(6);
@@ -320,32 +325,30 @@
     assert!(fleet.max_engines_per_sum < 1_000, "{}", fleet.max_engines_per_sum);
 }
 
-/// Found as CONFIG broken (shifted licpat, drawn day): the store turned away the aggregators of all three zones for nine seconds, and
-/// no other router asked it.
+/// Guards against a source that nobody watches while it rejects all aggregators.
 #[test]
-fn members_follow_the_source_while_it_turns_all_aggregators_away() {
-    for (size, refused_one_in) in [(62, 3), (300, 3), (62, 2)] {
+fn members_watch_the_source_while_it_rejects_all_aggregators() {
+    for (size, reject_every) in [(62, 3), (300, 3), (62, 2)] {
         let mut fleet = Fleet::new(size);
         fleet.rounds(40);
         let aggregators = fleet.aggregators();
-        let mut calls = 0;
+        let mut connects = 0;
         let mut answered_from = None;
         let mut silent_rounds = 0;
-        let began = fleet.now;
+        let started = fleet.now;
         for round in 0..110 {
             for index in 0..size {
                 let now = fleet.now;
-                let is_refused =
-                    aggregators.contains(&address(index)) || index % refused_one_in == 0;
+                let rejected = aggregators.contains(&address(index)) || index % reject_every == 0;
                 let router = fleet.router(index);
-                let contact = match (router.watches_source(now), is_refused) {
+                let contact = match (router.watches_source(now), rejected) {
                     (false, _) => SourceContact::Idle,
                     (true, true) => SourceContact::Lost,
                     (true, false) => SourceContact::Answered,
                 };
-                let is_call =
+                let connects_now =
                     contact != SourceContact::Idle && !aggregators.contains(&address(index));
-                calls += u32::from(is_call && router.source_contact() != contact);
+                connects += u32::from(connects_now && router.source_contact() != contact);
                 router.on_source_contact(contact);
                 if contact == SourceContact::Answered {
                     answered_from.get_or_insert(fleet.now);
@@ -356,10 +359,13 @@
             silent_rounds += u32::from(!is_answered && round >= 20);
             fleet.round();
         }
-        let waited = answered_from.map(|answered| answered.since(began));
+        let waited = answered_from.map(|answered| answered.since(started));
         assert!(waited.is_some_and(|waited| waited.as_millis() < 1_600), "{size}: {waited:?}");
-        assert!(silent_rounds <= 25, "{size}: nobody is answered in {silent_rounds} of 90 rounds");
-        assert!(calls <= 40, "{size}: {calls} members began to ask in nine seconds");
+        assert!(
+            silent_rounds <= 25,
+            "{size}: no router is answered in {silent_rounds} of 90 rounds"
+        );
+        assert!(connects <= 40, "{size}: {connects} members connected in nine seconds");
     }
 }
 
@@ -368,16 +374,16 @@
     let mut fleet = Fleet::new(62);
     fleet.rounds(40);
     let aggregators = fleet.aggregators();
-    // Until they are asked for the first time, members may stand in for them.
-    const SETTLED: usize = 80;
-    for round in 0..SETTLED + 60 {
+    // Until the aggregators contact the source for the first time, members may act as fallback.
+    const SETTLING_ROUNDS: usize = 80;
+    for round in 0..SETTLING_ROUNDS + 60 {
         for index in 0..62 {
             let now = fleet.now;
             let router = fleet.router(index);
-            let follows = router.watches_source(now);
-            let may_follow = round < SETTLED || aggregators.contains(&address(index));
-            assert!(!follows || may_follow, "router {index} in round {round}");
-            router.on_source_contact(if follows {
+            let watches_source = router.watches_source(now);
+            let may_watch = round < SETTLING_ROUNDS || aggregators.contains(&address(index));
+            assert!(!watches_source || may_watch, "router {index} in round {round}");
+            router.on_source_contact(if watches_source {
                 SourceContact::Answered
             } else {
                 SourceContact::Idle
@@ -387,16 +393,16 @@
     }
 }
 
-/// What members take in follows from the back ends in use, not from all that are listed.
+/// Guards against a number of datagrams that grows with the listed engines instead of those in use.
 #[test]
-fn sums_are_split_by_what_they_tell() {
-    let told = [1_000, 4_000].map(|engines| {
+fn sums_are_split_by_the_engines_that_they_contain() {
+    let datagrams = [1_000, 4_000].map(|engines| {
         let mut fleet = Fleet::with_engines(60, engines);
         fleet.rounds(30);
-        for subject in 0..200 {
+        for prefix in 0..200 {
             let now = fleet.now;
-            let asked = demand(now, Some(prompt(subject, subject, 10)), "t");
-            fleet.router(subject as usize % 60).admit(now, asked, 0.5);
+            let request = demand(now, Some(prompt(prefix, prefix, 10)), "t");
+            fleet.router(prefix as usize % 60).admit(now, request, 0.5);
         }
         fleet.rounds(10);
         let before = fleet.datagrams;
@@ -404,11 +410,10 @@
         assert_eq!(fleet.known_running(), vec![200; 60]);
         fleet.datagrams - before
     });
-    assert!(told[1] <= told[0] + told[0] / 50, "{told:?} datagrams");
+    assert!(datagrams[1] <= datagrams[0] + datagrams[0] / 50, "{datagrams:?} datagrams");
 }
 
-// A calm day of 985 routers in five zones moved 1.4 GB between zones in a minute. Each of 20 aggregators sent the sums of its members to all
-// others, 16 of them in other zones: with twice the fleet there are four times as many of these messages.
+/// Guards against every aggregator sending its sums to all aggregators of other zones.
 #[test]
 fn sums_between_zones_do_not_grow_with_the_square_of_the_aggregators() {
     for size in [350, 700] {
@@ -424,7 +429,7 @@
 }
 
 #[test]
-fn what_other_zones_have_is_known_at_every_aggregator_of_a_zone() {
+fn load_stats_of_other_zones_reach_every_aggregator_of_a_zone() {
     let mut fleet = Fleet::new(350);
     fleet.rounds(70);
     fleet.start_one_request_each(0..60);
@@ -435,9 +440,9 @@
     }
 }
 
-/// Zones whose sums an aggregator passed on get them from the others when it dies.
+/// Guards against zones left without load statistics when the aggregator that relayed them dies.
 #[test]
-fn an_aggregator_that_dies_takes_no_zone_the_figures_of_others() {
+fn the_death_of_an_aggregator_leaves_no_zone_without_the_load_stats_of_others() {
     let mut fleet = Fleet::new(700);
     fleet.rounds(70);
     fleet.start_one_request_each(300..340);
@@ -456,7 +461,7 @@
 }
 
 #[test]
-fn a_lost_datagram_in_twenty_does_little_harm_between_zones() {
+fn load_stats_of_other_zones_tolerate_the_loss_of_one_datagram_in_twenty() {
     let mut fleet = Fleet::new(350);
     fleet.rounds(70);
     fleet.start_one_request_each(0..60);
@@ -469,47 +474,42 @@
     }
 }
 
-/// When a fleet starts, each zone gets the lists once or twice, and not once for each of its routers.
+/// Guards against every router of a zone fetching the lists from another zone when a fleet starts.
 #[test]
-fn members_wait_a_while_for_a_router_of_their_zone_to_have_what_is_new() {
+fn members_wait_for_a_router_of_their_zone_to_have_the_newest_snapshot() {
     let mut fleet = Fleet::new(300);
     fleet.rounds(40);
     let now = fleet.now;
     let aggregators = fleet.aggregators();
-    let informed = fleet.routers.get_mut(&aggregators[0]).expect("known");
-    informed.on_back_ends(now, &list(2, ENGINES, SLOTS));
-    // A quarter of a second.
+    let updated = fleet.routers.get_mut(&aggregators[0]).expect("known");
+    updated.on_back_ends(now, &list(2, ENGINES, SLOTS));
+    // For a quarter of a second, only aggregators fetch from other zones.
     for _ in 0..3 {
         fleet.round();
-        let asking = fleet.fetching_from_other_zones();
-        assert!(asking.iter().all(|router| aggregators.contains(router)), "{asking:?}");
+        let fetching = fleet.fetching_from_other_zones();
+        assert!(fetching.iter().all(|router| aggregators.contains(router)), "{fetching:?}");
     }
     assert_eq!(fleet.fetching_from_other_zones().len(), aggregators.len() - 1);
-    // No aggregator gets it.
+    // No aggregator receives the new revision, so the members fetch it themselves.
     fleet.rounds(6);
     assert!(fleet.fetching_from_other_zones().len() > aggregators.len());
 }
 
-/// Whether the source answers a router: it turns away all aggregators and one router in so many.
-fn contact_of(router: &Dispatcher, now: Timestamp, is_refused: bool) -> SourceContact {
-    match (router.watches_source(now), is_refused) {
+/// Returns the result of a router's contact with a source that rejects it if `rejected`.
+fn contact_of(router: &Dispatcher, now: Timestamp, rejected: bool) -> SourceContact {
+    match (router.watches_source(now), rejected) {
         (false, _) => SourceContact::Idle,
         (true, true) => SourceContact::Lost,
         (true, false) => SourceContact::Answered,
     }
 }
 
-/// A source that turns some routers away is there for the others and for the back ends, whose entries go when they leave. Found on a day at
-/// 91 routers, of which a third was turned away: requests reached back ends 60 ms after the 3,000 ms within which these must have none. The
-/// router that stood in for the aggregators ended its five seconds, no other was answered for a while,
-///
-///     revision=241 until 30.06 s, revision=256 from 30.61 s on
-///
-/// and where that takes a second, all routers take the source for lost, and keep back ends whose entries went for two seconds more.
+/// Guards against an outage detected by all routers while the source rejects only some of them:
+/// during an outage, routers keep back ends whose entries are gone.
 #[test]
-fn a_source_that_turns_some_routers_away_is_not_taken_for_lost() {
+fn a_source_that_rejects_some_routers_is_not_taken_for_lost() {
     for answering in [0, 40] {
-        for (size, one_in, first) in [
+        for (size, reject_every, first) in [
             (62, 3, 0),
             (62, 3, 1),
             (62, 3, 2),
@@ -520,47 +520,43 @@
             (120, 3, 2),
             (300, 3, 0),
         ] {
-            let is_turned_away = |index| index % one_in == first;
-            let taken_for_lost = times_taken_for_lost(size, answering, is_turned_away);
-            assert_eq!(taken_for_lost, 0, "{size}, one in {one_in} from {first}, {answering}");
+            let is_rejected = |index| index % reject_every == first;
+            let outages = count_outages(size, answering, is_rejected);
+            assert_eq!(outages, 0, "{size}, one in {reject_every} from {first}, {answering}");
         }
     }
 }
 
-/// Rounds in which the source turns routers away.
-const TURNING_AWAY: usize = 160;
+/// Rounds in which the source rejects routers.
+const REJECTING_ROUNDS: usize = 160;
 
-/// How often routers take the source for lost that answers all for so many rounds, and then turns the aggregators of that time and some
-/// other routers away.
-fn times_taken_for_lost(
-    size: usize,
-    answering: usize,
-    is_turned_away: impl Fn(usize) -> bool,
-) -> usize {
+/// Returns how often routers detect an outage of a source that answers all of them for `answering`
+/// rounds and then rejects the aggregators of that time and some other routers.
+fn count_outages(size: usize, answering: usize, is_rejected: impl Fn(usize) -> bool) -> usize {
     let mut fleet = Fleet::new(size);
     fleet.rounds(40);
-    let mut watches = vec![OutageDetector::default(); size];
+    let mut detectors = vec![OutageDetector::default(); size];
     let mut aggregators = Vec::new();
-    let mut taken_for_lost = 0;
-    for round in 0..answering + TURNING_AWAY {
+    let mut outages = 0;
+    for round in 0..answering + REJECTING_ROUNDS {
         if round == answering {
             aggregators = fleet.aggregators();
         }
-        for (index, watch) in watches.iter_mut().enumerate() {
-            let is_refused = round >= answering
-                && (aggregators.contains(&address(index)) || is_turned_away(index));
+        for (index, detector) in detectors.iter_mut().enumerate() {
+            let rejected =
+                round >= answering && (aggregators.contains(&address(index)) || is_rejected(index));
             let now = fleet.now;
             let router = fleet.router(index);
-            let contact = contact_of(router, now, is_refused);
+            let contact = contact_of(router, now, rejected);
             router.on_source_contact(contact);
             if router.is_source_answering(now) {
-                watch.on_answer(now);
+                detector.on_answer(now);
             } else {
-                watch.on_lost(now);
+                detector.on_lost(now);
             }
-            taken_for_lost += usize::from(watch.is_recovering(now));
+            outages += usize::from(detector.is_recovering(now));
         }
         fleet.round();
     }
-    taken_for_lost
+    outages
 }
--- a/crates/routing/tests/support/directory_view.rs
+++ b/crates/routing/tests/support/directory_view.rs
@@ -1,4 +1,4 @@
-//! What those that use back ends hold of them, by the changes that a directory gives.
+//! A directory of back ends and the usable back ends that follow from its changes.
 #![allow(dead_code, missing_docs)]
 
 use mastbay_routing::{
@@ -14,7 +14,7 @@
 }
 
 impl DirectoryView {
-    /// Offers an update. Gives whether it was taken.
+    /// Applies an update to the directory. Returns whether the directory accepted it.
     pub fn apply(
         &mut self,
         now: Timestamp,
@@ -22,37 +22,40 @@
         update: impl Into<BackEndUpdate>,
     ) -> bool {
         let changes = self.directory.apply(now, recovering, update.into());
-        let is_taken = changes.is_some();
-        self.take(changes);
-        is_taken
+        let is_accepted = changes.is_some();
+        self.apply_changes(changes);
+        is_accepted
     }
 
-    /// Gives whether anything changed.
+    /// Expires entries of the directory. Returns whether any usable back end changed.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let changes = self.directory.expire(now);
         let has_changes = changes.is_some();
-        self.take(changes);
+        self.apply_changes(changes);
         has_changes
     }
 
-    /// Takes what a peer has that is newer.
+    /// Applies the changes that a peer has and this directory lacks. Returns whether they were
+    /// accepted.
     pub fn sync_from(&mut self, now: Timestamp, peer: &Self) -> bool {
         let known = self.directory.revision().unwrap_or_default();
         self.apply(now, false, peer.directory.update_since(known))
     }
 
-    fn take(&mut self, changes: Option<UsableChanges>) {
+    fn apply_changes(&mut self, changes: Option<UsableChanges>) {
         let changes = changes.unwrap_or_default();
         changes.removed.iter().for_each(|id| {
             self.back_ends.remove(id);
         });
-        self.back_ends.extend(changes.updated.into_iter().map(|one| (one.id.clone(), one)));
+        self.back_ends
+            .extend(changes.updated.into_iter().map(|back_end| (back_end.id.clone(), back_end)));
     }
 
-    /// The names of those that take work.
+    /// Returns the names of the usable back ends that are ready.
     pub fn ready(&self) -> Vec<String> {
-        let ready = self.back_ends.values().filter(|one| one.state == BackEndState::Ready);
-        ready.map(|one| one.id.to_string()).collect()
+        let ready =
+            self.back_ends.values().filter(|back_end| back_end.state == BackEndState::Ready);
+        ready.map(|back_end| back_end.id.to_string()).collect()
     }
 
     pub fn revision(&self) -> Revision {
--- a/crates/routing/tests/support/fleet.rs
+++ b/crates/routing/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet in seeded virtual time: routers that send each other their messages, which may be late, lost or repeated.
+//! A fleet of routers in virtual time that exchange messages, which may be dropped or duplicated.
 #![allow(dead_code, missing_docs)]
 
 use super::{configuration, demand, limits, list, prompt};
@@ -15,28 +15,30 @@
 pub const ZONES: usize = 5;
 pub const ENGINES: usize = 8;
 pub const SLOTS: u32 = 40;
-/// Time for a datagram.
+/// Latency of a datagram.
 pub const DATAGRAM_TIME: Duration = Duration::from_millis(2);
 
-/// A fleet in virtual time; every round all living routers send their messages, staggered over the round.
+/// A fleet in virtual time. In every round each router that is not silent sends its messages; the
+/// sends are spread over the round.
 pub struct Fleet {
     pub now: Timestamp,
     pub routers: BTreeMap<SocketAddr, Dispatcher>,
     /// Routers that neither send nor receive.
     pub silent: BTreeSet<SocketAddr>,
-    /// Senders whose sums are lost.
+    /// Senders whose sums are dropped.
     pub dropped_sum_senders: BTreeSet<SocketAddr>,
-    /// One datagram in this many is lost, none if 0.
+    /// Drops every n-th datagram; drops none if 0.
     pub drop_every: u64,
-    /// Whether each datagram comes twice.
+    /// Whether each datagram is delivered twice.
     pub duplicates: bool,
     pub seeds: Vec<SocketAddr>,
+    /// Datagrams sent so far.
     pub datagrams: u64,
-    /// Sums that went from one zone to another.
+    /// Sums sent from one zone to another so far.
     pub cross_zone_sums: u64,
-    /// Most engines in one sum so far.
+    /// Largest number of engines in one sum so far.
     pub max_engines_per_sum: usize,
-    /// When routers started again, where they did.
+    /// Time of the last restart, for routers that restarted.
     pub restarted_at: BTreeMap<SocketAddr, Timestamp>,
 }
 
@@ -44,11 +46,11 @@
     SocketAddr::from(([10, (index % ZONES) as u8, (index / 250) as u8, (index % 250) as u8], 7_000))
 }
 
-/// The zone of the router at an address, as a number.
+/// Returns the zone of the router at an address.
 pub fn zone(address: SocketAddr) -> u8 {
     match address.ip() {
         IpAddr::V4(ip) => ip.octets()[1],
-        IpAddr::V6(_) => unreachable!("the fleet has addresses of the fourth version"),
+        IpAddr::V6(_) => unreachable!("the fleet has IPv4 addresses"),
     }
 }
 
@@ -63,15 +65,16 @@
         processor: if is_large { 0.5 } else { 0.12 },
         ..limits()
     };
-    // Lives are random numbers, so no two routers share one.
-    let me = PeerId { address: address(index), incarnation: incarnation * 1_000 + index as u64 };
-    let mut dispatcher = Dispatcher::new(limits, me, address(index));
+    // Incarnations are unique across routers, as the random ones of real routers are.
+    let id = PeerId { address: address(index), incarnation: incarnation * 1_000 + index as u64 };
+    let mut dispatcher = Dispatcher::new(limits, id, address(index));
     dispatcher.on_configuration(&configuration(Some(1_000_000)));
     dispatcher.on_back_ends(Timestamp::ZERO, &list(1, engines, SLOTS));
     dispatcher
 }
 
 impl Fleet {
+    /// Creates a fleet of `size` routers before [`ENGINES`] engines.
     pub fn new(size: usize) -> Self {
         Self::with_engines(size, ENGINES)
     }
@@ -93,6 +96,7 @@
         }
     }
 
+    /// Runs one round: each router that is not silent sends its messages.
     pub fn round(&mut self) {
         let addresses: Vec<SocketAddr> = self.routers.keys().copied().collect();
         let step = ROUND_PERIOD / addresses.len() as u32;
@@ -112,13 +116,13 @@
         }
     }
 
-    /// The time of a router's own clock, which begins with its life.
+    /// Returns the time of a router's own clock, which starts at its last restart.
     pub fn clock(&self, address: SocketAddr) -> Timestamp {
         let started = self.restarted_at.get(&address).copied().unwrap_or(Timestamp::ZERO);
         Timestamp::ZERO + self.now.since(started)
     }
 
-    /// Another life of a router, which knows nothing, in place of the one that ran.
+    /// Replaces a router by a new incarnation without state.
     pub fn restart(&mut self, address: SocketAddr, router: Dispatcher) {
         self.restarted_at.insert(address, self.now);
         self.routers.insert(address, router);
@@ -128,18 +132,19 @@
         (0..count).for_each(|_| self.round());
     }
 
-    /// Delivers a message, and what follows from it.
+    /// Delivers a message and all messages sent in response to it.
     pub fn deliver(&mut self, sender: SocketAddr, outgoing: Outgoing) {
-        let mut under_way = VecDeque::from([(sender, outgoing)]);
-        while let Some((sender, outgoing)) = under_way.pop_front() {
+        let mut queue = VecDeque::from([(sender, outgoing)]);
+        while let Some((sender, outgoing)) = queue.pop_front() {
             for target in &outgoing.targets {
-                let following = self.deliver_to(sender, *target, &outgoing.message);
-                under_way.extend(following.into_iter().map(|following| (*target, following)));
+                let responses = self.deliver_to(sender, *target, &outgoing.message);
+                queue.extend(responses.into_iter().map(|response| (*target, response)));
             }
         }
     }
 
-    /// Delivers a message to one router. Gives what that sends because of it: what it passes on, and greetings.
+    /// Delivers a message to one router. Returns what that router sends in response: relayed
+    /// messages and hellos.
     pub fn deliver_to(
         &mut self,
         sender: SocketAddr,
@@ -151,79 +156,84 @@
         self.cross_zone_sums += u64::from(is_sum && zone(sender) != zone(target));
         if let PeerMessage::Sum(sum) | PeerMessage::SumForZone(sum) = message {
             let service_levels = sum.stats.service_levels.as_ref().map_or(0, Vec::len);
-            let told = sum.stats.loads.len().max(service_levels);
-            self.max_engines_per_sum = self.max_engines_per_sum.max(told);
+            let engines_in_sum = sum.stats.loads.len().max(service_levels);
+            self.max_engines_per_sum = self.max_engines_per_sum.max(engines_in_sum);
         }
         let is_lost = self.drop_every > 0 && self.datagrams.is_multiple_of(self.drop_every);
-        let is_unheard = is_sum && self.dropped_sum_senders.contains(&sender);
-        if is_lost || is_unheard || self.silent.contains(&target) {
+        let is_dropped_sum = is_sum && self.dropped_sum_senders.contains(&sender);
+        if is_lost || is_dropped_sum || self.silent.contains(&target) {
             return Vec::new();
         }
-        let heard = self.clock(target) + DATAGRAM_TIME;
+        let received_at = self.clock(target) + DATAGRAM_TIME;
         let Some(router) = self.routers.get_mut(&target) else { return Vec::new() };
-        let mut following: Vec<Outgoing> = router.relayed_message(message).into_iter().collect();
-        let new_peer = router.on_message(heard, message.clone());
+        let mut responses: Vec<Outgoing> = router.relayed_message(message).into_iter().collect();
+        let new_peer = router.on_message(received_at, message.clone());
         if self.duplicates {
-            assert_eq!(router.on_message(heard, message.clone()), None);
+            assert_eq!(router.on_message(received_at, message.clone()), None);
         }
         if let Some(new_peer) = new_peer.filter(|new_peer| new_peer.needs_hello) {
             let message = PeerMessage::Digest(router.hello(RouterPhase::Serving));
-            following.push(Outgoing { message, targets: vec![new_peer.address] });
+            responses.push(Outgoing { message, targets: vec![new_peer.address] });
         }
-        following
+        responses
     }
 
     pub fn router(&mut self, index: usize) -> &mut Dispatcher {
         self.routers.get_mut(&address(index)).expect("known")
     }
 
-    /// Starts requests at one router, all for the same shared prefix. Gives those that were placed.
+    /// Starts requests at one router, all with the same prefix. Returns those that were placed.
     pub fn start_requests(&mut self, index: usize, count: u64) -> Vec<TicketId> {
         let now = self.now;
         let router = self.router(index);
-        let place = |own| match router.admit(now, demand(now, Some(prompt(1, own, 10)), "t"), 0.5) {
+        let place_request = |request| match router.admit(
+            now,
+            demand(now, Some(prompt(1, request, 10)), "t"),
+            0.5,
+        ) {
             Admission::Placed(placement) => Some(placement.ticket),
             Admission::Waiting(_) | Admission::Refused(_) => None,
         };
-        (0..count).map(|own| own + 1_000 * index as u64).filter_map(place).collect()
+        (0..count).map(|request| request + 1_000 * index as u64).filter_map(place_request).collect()
     }
 
-    /// Starts one request at each of some routers; all must be placed.
+    /// Starts one request at each of some routers. Panics if one is not placed.
     pub fn start_one_request_each(&mut self, routers: Range<usize>) {
         for index in routers {
             assert_eq!(self.start_requests(index, 1).len(), 1);
         }
     }
 
-    /// What the routers that are not silent believe, from the least to the most.
+    /// Returns the number of running requests in the fleet as each router that is not silent knows
+    /// it, in ascending order.
     pub fn known_running(&mut self) -> Vec<u32> {
         let silent = self.silent.clone();
-        let living = self.routers.iter().filter(|(address, _)| !silent.contains(address));
+        let active = self.routers.iter().filter(|(address, _)| !silent.contains(address));
         let mut known_running: Vec<u32> =
-            living.map(|(_, router)| router.loads().map(|load| load.running).sum()).collect();
+            active.map(|(_, router)| router.loads().map(|load| load.running).sum()).collect();
         known_running.sort_unstable();
         known_running
     }
 
-    /// Routers that would ask one of another zone for what is new.
+    /// Returns the routers that would fetch the newest snapshot from a router of another zone.
     pub fn fetching_from_other_zones(&self) -> Vec<SocketAddr> {
-        let asks = |(address, router): (&SocketAddr, &Dispatcher)| {
-            let asked = router.newer_snapshot_address(self.now, 0.5)?;
-            (zone(asked) != zone(*address)).then_some(*address)
+        let fetches = |(address, router): (&SocketAddr, &Dispatcher)| {
+            let source = router.newer_snapshot_address(self.now, 0.5)?;
+            (zone(source) != zone(*address)).then_some(*address)
         };
-        self.routers.iter().filter_map(asks).collect()
+        self.routers.iter().filter_map(fetches).collect()
     }
 
-    /// Routers that send sums to members.
+    /// Returns the routers that are not silent and send sums over the fleet.
     pub fn aggregators(&mut self) -> Vec<SocketAddr> {
         let now = self.now;
-        let mut found = Vec::new();
+        let mut aggregators = Vec::new();
         for (address, router) in &mut self.routers {
             if self.silent.contains(address) {
                 continue;
             }
             let messages = router.next_round(now, RouterPhase::Serving, &[]);
-            let serves = messages.iter().any(|outgoing| match &outgoing.message {
+            let sends_sums = messages.iter().any(|outgoing| match &outgoing.message {
                 PeerMessage::Sum(sum) => {
                     sum.scope == SumScope::Fleet && !outgoing.targets.is_empty()
                 }
@@ -232,8 +242,8 @@
                 | PeerMessage::Ends(_)
                 | PeerMessage::Draining(_) => false,
             });
-            found.extend(serves.then_some(*address));
+            aggregators.extend(sends_sums.then_some(*address));
         }
-        found
+        aggregators
     }
 }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders for tests of the routing decisions.
+//! Builders of dispatchers, back ends, requests and configurations for the tests of this crate.
 #![allow(dead_code, missing_docs)]
 
 pub mod directory_view;
@@ -14,7 +14,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// A service whose back ends are engines.
 pub const MODEL: &str = "model";
+/// A service whose back ends do not run a model.
 pub const PLAIN: &str = "plain";
 
 pub fn at(millis: u64) -> Timestamp {
@@ -57,6 +59,7 @@
     }
 }
 
+/// A list of ready engines of [`MODEL`], named `e0`, `e1` and so on.
 pub fn list(revision: u64, engines: usize, slots: u32) -> BackEndList {
     let back_ends = (0..engines).map(|index| back_end(&format!("e{index}"), MODEL, slots));
     BackEndList { revision: revision.into(), back_ends: back_ends.collect() }
@@ -86,13 +89,20 @@
     dispatcher
 }
 
-pub fn prompt(subject: u64, own: u64, own_tokens: u32) -> Prompt {
+/// A prompt that shares its prefix with all prompts of the same `prefix`, followed by a part that
+/// is unique to `request`.
+pub fn prompt(prefix: u64, request: u64, request_tokens: u32) -> Prompt {
     let parts = vec![
         PromptPart { id: 1, tokens: 100 },
-        PromptPart { id: 1_000 + subject, tokens: 1_000 },
-        PromptPart { id: 1_000_000 + own, tokens: own_tokens },
+        PromptPart { id: 1_000 + prefix, tokens: 1_000 },
+        PromptPart { id: 1_000_000 + request, tokens: request_tokens },
     ];
-    Prompt { parts, input_tokens: 1_100 + own_tokens, max_output_tokens: 100, output_hint: None }
+    Prompt {
+        parts,
+        input_tokens: 1_100 + request_tokens,
+        max_output_tokens: 100,
+        output_hint: None,
+    }
 }
 
 pub fn demand(now: Timestamp, prompt: Option<Prompt>, tenant: &str) -> Demand {
@@ -111,9 +121,10 @@
     }
 }
 
+/// Delivers a digest of every dispatcher to all of them.
 pub fn exchange_digests(now: Timestamp, fleet: &mut [Dispatcher]) {
     let digests: Vec<Digest> =
-        fleet.iter_mut().map(|one| one.digest(now, RouterPhase::Serving)).collect();
+        fleet.iter_mut().map(|dispatcher| dispatcher.digest(now, RouterPhase::Serving)).collect();
     for dispatcher in fleet.iter_mut() {
         for digest in &digests {
             dispatcher.on_digest(now, digest.clone());
