--- a/crates/routing/tests/attempt.rs
+++ b/crates/routing/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! What may be sent again and what a caller may be told, over any order of events.
+//! Retries and the reported execution status of an attempt, over any order of events.
 
 use mastbay_routing::{Attempt, AttemptState, ExecutionStatus};
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -20,8 +20,9 @@
     }
 }
 
-/// Plays events that can follow each other, and counts the runs that a back end may have begun.
-fn play(attempt: &mut Attempt, events: &[Event]) -> u32 {
+/// Applies the events that are valid in their order. Returns how many runs back ends may have
+/// started.
+fn apply(attempt: &mut Attempt, events: &[Event]) -> u32 {
     let mut runs = 0;
     for event in events {
         let is_sent = attempt.state() == AttemptState::Sent;
@@ -44,26 +45,26 @@
 }
 
 quickcheck! {
-    fn a_request_that_may_not_be_repeated_runs_once(events: Vec<Event>, most: u32) -> bool {
-        play(&mut Attempt::new(false, most % 5), &events) <= 1
+    fn a_request_that_may_not_be_repeated_runs_once(events: Vec<Event>, max_sends: u32) -> bool {
+        apply(&mut Attempt::new(false, max_sends % 5), &events) <= 1
     }
 
-    fn runs_stay_within_the_most_sends(events: Vec<Event>, most: u32) -> bool {
-        play(&mut Attempt::new(true, most % 5), &events) <= (most % 5).max(1)
+    fn runs_stay_within_the_maximum_of_sends(events: Vec<Event>, max_sends: u32) -> bool {
+        apply(&mut Attempt::new(true, max_sends % 5), &events) <= (max_sends % 5).max(1)
     }
 
-    fn not_run_is_told_only_of_what_no_back_end_can_have_run(
-        events: Vec<Event>, idempotent: bool, most: u32
+    fn not_run_is_reported_only_if_no_back_end_can_have_run_the_request(
+        events: Vec<Event>, idempotent: bool, max_sends: u32
     ) -> bool {
-        let mut attempt = Attempt::new(idempotent, most % 5);
-        let runs = play(&mut attempt, &events);
+        let mut attempt = Attempt::new(idempotent, max_sends % 5);
+        let runs = apply(&mut attempt, &events);
         let may_be_running = attempt.state() == AttemptState::Sent;
         attempt.execution_status() != ExecutionStatus::NotRun || (runs == 0 && !may_be_running)
     }
 }
 
 #[test]
-fn a_request_that_nobody_ran_may_go_to_another_back_end() {
+fn a_request_that_was_not_run_may_go_to_another_back_end() {
     let mut attempt = Attempt::new(false, 1);
     attempt.on_send();
     attempt.on_not_run();
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn the_word_of_one_back_end_says_nothing_of_another() {
+fn not_run_at_one_back_end_does_not_cover_an_earlier_lost_send() {
     let mut attempt = Attempt::new(true, 3);
     attempt.on_send();
     attempt.on_lost();
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_request_that_failed_at_one_back_end_has_run_whatever_the_next_says() {
+fn a_request_answered_by_one_back_end_may_have_run_even_if_the_next_did_not_run_it() {
     let mut attempt = Attempt::new(true, 2);
     attempt.on_send();
     attempt.on_answer();
