--- a/crates/fairness/src/lib.rs
+++ b/crates/fairness/src/lib.rs
@@ -1,10 +1,10 @@
-//! The order in which tenants of one service are served.
+//! Weighted fair ordering of the tenants of one service.
 //!
 //! Every tenant has a *level*: the service it received, divided by its weight. The next unit of
 //! capacity goes to the backlogged tenant with the lowest level. A tenant that becomes backlogged
-//! starts no lower than the lowest backlogged tenant, so that idle time earns no credit. This is
-//! start-time fair queueing applied to costs that are known only afterwards: an estimate is
-//! charged first and corrected as the true cost shows.
+//! starts no lower than the lowest backlogged tenant, so idle time earns no credit. This is
+//! start-time fair queueing for costs that are known only after service: an estimate is charged
+//! first and corrected when the actual cost is known.
 //!
 //! ```
 //! use mastbay_fairness::FairOrder;
@@ -25,7 +25,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Sub-units per cost unit, so that dividing by a weight loses little.
+/// Sub-units per cost unit, which limit the rounding error of the division by a weight.
 const SCALE: i64 = 1_000;
 
 /// Service received over weight, in thousandths of a cost unit.
@@ -33,17 +33,17 @@
 pub struct Level(pub i64);
 
 impl Level {
-    /// The level that `cost` adds to a tenant of `weight`.
+    /// Returns the level that `cost` adds to a tenant of `weight`.
     pub fn of(cost: Cost, weight: Weight) -> Level {
         Level(cost.0.saturating_mul(SCALE) / i64::from(weight.get()))
     }
 
-    /// The level in cost units over weight.
+    /// Returns the level in cost units divided by weight.
     pub fn in_cost_units(self) -> f64 {
         self.0 as f64 / SCALE as f64
     }
 
-    /// The sum of two levels.
+    /// Returns the sum of two levels; saturates at the bounds of `i64`.
     pub fn plus(self, other: Level) -> Level {
         Level(self.0.saturating_add(other.0))
     }
@@ -61,23 +61,23 @@
 pub struct FairOrder {
     accounts: BTreeMap<TenantName, Account>,
     backlogged: BTreeSet<(Level, TenantName)>,
-    /// Where a tenant starts when nobody is backlogged: the level last served.
+    /// Level at which a tenant starts when none is backlogged: the highest level served so far.
     floor: Level,
 }
 
 impl FairOrder {
-    /// Declares a tenant's weight; its level is kept.
+    /// Sets a tenant's weight; its level is kept.
     pub fn set_weight(&mut self, tenant: &TenantName, weight: Weight) {
         self.account(tenant).weight = weight;
     }
 
-    /// The tenant's declared weight, one if none was declared.
+    /// Returns the tenant's weight, or one if none was set.
     pub fn weight(&self, tenant: &TenantName) -> Weight {
         self.accounts.get(tenant).map_or(Weight::ONE, |account| account.weight)
     }
 
-    /// Says whether `tenant` has work that waits. A tenant that becomes backlogged is raised to
-    /// the lowest level among the backlogged.
+    /// Sets whether `tenant` has waiting requests. A tenant that becomes backlogged is raised to
+    /// the lowest level of the backlogged tenants.
     pub fn set_backlogged(&mut self, tenant: &TenantName, backlogged: bool) {
         let start = self.starting_level();
         let account = self.account(tenant);
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Adds `cost`, which is negative when an estimate turns out too high.
+    /// Charges `cost` to a tenant. A negative cost corrects an estimate that was too high.
     pub fn charge(&mut self, tenant: &TenantName, cost: Cost) {
         let account = self.account(tenant);
         let level = account.level.plus(Level::of(cost, account.weight));
         self.set_level(tenant, level);
     }
 
-    /// Forgets all levels and backlogs; weights are kept.
+    /// Resets all levels and backlogs; weights are kept.
     pub fn forget_levels(&mut self) {
         self.backlogged.clear();
         self.floor = Level::default();
@@ -112,16 +112,16 @@
         }
     }
 
-    /// Raises a tenant to `level` if it is below: used when others remember more than this order
-    /// knows.
+    /// Raises a tenant to `level` if it is below, when another process reports a higher level than
+    /// this order has.
     pub fn raise_to(&mut self, tenant: &TenantName, level: Level) {
         if self.level(tenant) < level {
             self.set_level(tenant, level);
         }
     }
 
-    /// Gives a tenant the level that it had in a predecessor's order, and marks it as backlogged
-    /// without raising it: it was backlogged there all along.
+    /// Restores the level that a tenant had in the order of a predecessor and marks the tenant as
+    /// backlogged without raising it to the lowest backlogged level.
     pub fn restore_backlogged(&mut self, tenant: &TenantName, level: Level) {
         self.set_backlogged(tenant, false);
         let account = self.account(tenant);
@@ -130,22 +130,23 @@
         self.backlogged.insert((level, tenant.clone()));
     }
 
-    /// The tenant's level; zero for one never seen.
+    /// Returns the tenant's level, or zero for an unknown tenant.
     pub fn level(&self, tenant: &TenantName) -> Level {
         self.accounts.get(tenant).map_or(Level::default(), |account| account.level)
     }
 
-    /// The backlogged tenant that is due next.
+    /// Returns the backlogged tenant with the lowest level, which is served next.
     pub fn next(&self) -> Option<&TenantName> {
         self.backlogged.first().map(|(_, tenant)| tenant)
     }
 
-    /// All backlogged tenants, the one due next first.
+    /// Returns all backlogged tenants in ascending order of level.
     pub fn backlogged(&self) -> impl Iterator<Item = &TenantName> {
         self.backlogged.iter().map(|(_, tenant)| tenant)
     }
 
-    /// Remembers that `tenant` is being served, so that a later starter begins no lower.
+    /// Raises the starting level of tenants that become backlogged while no other is backlogged to
+    /// that of `tenant`. To be called before its service is charged.
     pub fn note_served(&mut self, tenant: &TenantName) {
         self.floor = self.floor.max(self.level(tenant));
     }
--- a/crates/fairness/src/tests.rs
+++ b/crates/fairness/src/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the fair order.
+
 use crate::{FairOrder, Level};
 use mastbay_types::{Cost, TenantName, Weight};
 use quickcheck::quickcheck;
@@ -31,7 +33,7 @@
 }
 
 #[test]
-fn a_starter_begins_at_the_level_last_served_when_nobody_waits() {
+fn a_tenant_starts_at_the_level_last_served_when_none_is_backlogged() {
     let mut order = FairOrder::default();
     order.set_backlogged(&tenant(0), true);
     order.charge(&tenant(0), Cost(50));
@@ -42,8 +44,8 @@
 }
 
 quickcheck! {
-    /// Whatever the costs, two tenants that stay backlogged are never further apart than the
-    /// largest single cost.
+    /// The levels of two tenants that stay backlogged never differ by more than the largest single
+    /// cost.
     fn gap_is_at_most_the_largest_cost(costs: Vec<u16>) -> bool {
         let mut order = FairOrder::default();
         for index in 0..4 {
@@ -59,7 +61,7 @@
         })
     }
 
-    /// An estimate that is corrected leaves no trace.
+    /// A corrected estimate leaves the level of the actual cost.
     fn corrections_cancel(estimate: u16, actual: u16) -> bool {
         let mut order = FairOrder::default();
         order.charge(&tenant(0), Cost(i64::from(estimate)));
--- a/crates/grants/src/cell.rs
+++ b/crates/grants/src/cell.rs
@@ -1,7 +1,7 @@
-//! The scheduler's side: slots, demand and the grants that match them.
+//! The scheduler's side of a cell: matches demand with slots by grants.
 
 use crate::ahead::AheadEstimate;
-use crate::gateway_view::{GatewayView, UnseenGrant};
+use crate::gateway_view::{GatewayView, UnacknowledgedGrant};
 use crate::messages::{BackendReport, Grant, Grants, Report, TenantReport};
 use crate::slots::Slots;
 use crate::status::CellStatus;
@@ -15,21 +15,21 @@
 /// Settings of a [`Cell`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct CellConfig {
-    /// How long a grant may stay unseen by its gateway before its slot is taken back.
+    /// Time after which the slot of a grant is released if its gateway does not acknowledge it.
     pub grant_timeout: Duration,
-    /// Silence after which a gateway's state is dropped.
+    /// Time without a report after which a gateway's state is dropped.
     pub gateway_timeout: Duration,
-    /// Pause after taking over, in which gateways report and nothing is granted.
+    /// Time after a takeover in which gateways report and nothing is granted.
     pub settle_time: Duration,
-    /// How long a back end that a gateway could not reach gets no grant.
+    /// Time without grants to a back end after a gateway failed to reach it.
     pub unreachable_pause: Duration,
-    /// Grants beyond the slots of a back end, which hide the round trip between two requests.
-    /// `None` learns how many are needed, at most as many as it has slots.
+    /// Grants beyond the slots of a back end, which hide the round trip between two requests; at
+    /// most as many as the largest back end has slots. `None` estimates the number from reports.
     pub ahead: Option<u32>,
-    /// What is charged for a tenant whose requests never ended yet.
+    /// Cost estimate for a tenant of which no request has ended yet.
     pub first_estimate: Cost,
-    /// Slots that a tenant may hold while others wait, as a multiple of its fair share of them.
-    /// Bounds the service that a tenant can take before its true cost shows.
+    /// Maximum of a tenant's requests in flight while others wait, as a multiple of its fair share
+    /// of the slots. Bounds the service that a tenant gets before its actual cost is known.
     pub share_limit: f64,
 }
 
@@ -47,36 +47,36 @@
     }
 }
 
-/// A gateway that is gone.
+/// The charges of a gateway that no longer reports here.
 #[derive(Debug)]
 struct Departed {
     incarnation: Incarnation,
     charged: BTreeMap<TenantName, Cost>,
 }
 
-/// The scheduler's state of one cell. Soft: rebuilt from gateways' full reports.
+/// The scheduler's state of one cell: soft state, rebuilt from full reports of gateways.
 #[derive(Debug)]
 pub struct Cell {
     id: CellId,
     config: CellConfig,
     me: ProcessId,
     incarnation: Incarnation,
-    /// The scheduler that the cell was handed to.
+    /// The scheduler to which the cell was handed over.
     moved_to: Option<ProcessId>,
     opens_at: Timestamp,
     tenants: Tenants,
     slots: Slots,
     ahead: AheadEstimate,
     gateways: BTreeMap<ProcessId, GatewayView>,
-    /// What gateways that are gone had charged, should they come back in the same life.
+    /// Charges of departed gateways, in case they return in the same incarnation.
     departed: BTreeMap<ProcessId, Departed>,
-    just_taken_over: bool,
-    /// Gateways to answer, and whether each has to send a full report.
+    needs_solicitation: bool,
+    /// Gateways to answer, with whether each has to send a full report.
     answers_due: BTreeMap<ProcessId, bool>,
 }
 
 impl Cell {
-    /// A cell that the scheduler `me` may come to hold.
+    /// Creates a cell without state at the scheduler `me`. It grants nothing until gateways report.
     pub fn new(id: CellId, config: CellConfig, me: ProcessId, incarnation: Incarnation) -> Self {
         Self {
             id,
@@ -90,17 +90,17 @@
             ahead: AheadEstimate::default(),
             gateways: BTreeMap::new(),
             departed: BTreeMap::new(),
-            just_taken_over: false,
+            needs_solicitation: false,
             answers_due: BTreeMap::new(),
         }
     }
 
-    /// The cell's identifier.
+    /// Returns the cell's identifier.
     pub fn id(&self) -> &CellId {
         &self.id
     }
 
-    /// Declares the back ends in force and their slots; others are forgotten.
+    /// Sets the back ends and their slots; back ends that are not listed are removed.
     pub fn set_backends(&mut self, declared: &[(BackendName, u32)]) {
         for name in self.slots.declare(declared) {
             for gateway in self.gateways.values() {
@@ -110,41 +110,41 @@
         }
     }
 
-    /// Marks a back end as leaving (or no longer so): a leaving one gets no grant.
+    /// Sets whether a back end is leaving. A leaving back end gets no grants.
     pub fn set_leaving(&mut self, name: &BackendName, leaving: bool) {
         self.slots.set_leaving(name, leaving);
     }
 
-    /// Changes how many grants beyond its slots a back end gets; `None` learns it.
+    /// Sets the number of grants beyond the slots of a back end; `None` estimates it.
     pub fn set_ahead(&mut self, ahead: Option<u32>) {
         self.config.ahead = ahead;
     }
 
-    /// Declares a tenant's weight.
+    /// Sets a tenant's weight.
     pub fn set_weight(&mut self, tenant: &TenantName, weight: Weight) {
         self.tenants.set_weight(tenant, weight);
     }
 
-    /// Takes a gateway's report.
+    /// Applies a gateway's report.
     pub fn handle_report(&mut self, now: Timestamp, from: &ProcessId, report: Report) {
         if let Some(successor) = &report.moved_to {
-            self.let_go(from, successor.clone());
+            self.handle_handover(from, successor.clone());
             return;
         }
         if !self.accept_gateway(now, from, &report) {
             return;
         }
-        self.reopen_for_newcomer(now, &report);
-        let mut changed = self.forget_seen(now, from, &report);
+        self.reopen_for_new_gateway(now, &report);
+        let mut changed = self.release_acknowledged(now, from, &report);
         if report.full {
             changed.extend(self.clear_missing(from, &report));
         }
         for tenant in report.tenants {
             changed.push(tenant.tenant.clone());
-            self.take_tenant(now, from, tenant);
+            self.apply_tenant_report(now, from, tenant);
         }
         for backend in report.backends {
-            self.take_backend(now, from, backend);
+            self.apply_backend_report(now, from, backend);
         }
         changed.sort();
         changed.dedup();
@@ -156,10 +156,10 @@
         }
     }
 
-    /// A gateway has turned to another scheduler. If that one comes before this one in the cell's
-    /// order, the whole cell is handed over: two schedulers that both grant would fill the slots
-    /// twice. A gateway that only lost its own way here moves nobody else.
-    fn let_go(&mut self, from: &ProcessId, successor: ProcessId) {
+    /// Handles a gateway's change to another scheduler. If that scheduler ranks before this one for
+    /// the cell, the whole cell is handed over, because two granting schedulers would fill the
+    /// slots twice. Otherwise only this gateway moves.
+    fn handle_handover(&mut self, from: &ProcessId, successor: ProcessId) {
         self.drop_gateway(from);
         if !ranks_before(&self.id.rendezvous_key(), &successor, &self.me) {
             return;
@@ -170,16 +170,16 @@
         }
     }
 
-    /// A gateway that begins to report here could not reach the scheduler that the cell was handed
-    /// to, or that one is gone: the cell is held here again.
-    fn reopen_for_newcomer(&mut self, now: Timestamp, report: &Report) {
-        let newcomer = report.full && report.scheduler == Incarnation::default();
-        if newcomer && self.moved_to.take().is_some() {
+    /// Takes the cell back when a new gateway reports here after a handover: it could not reach the
+    /// successor.
+    fn reopen_for_new_gateway(&mut self, now: Timestamp, report: &Report) {
+        let is_new_gateway = report.full && report.scheduler == Incarnation::default();
+        if is_new_gateway && self.moved_to.take().is_some() {
             self.opens_at = now + self.config.settle_time;
         }
     }
 
-    /// Whether the report may be applied. An unknown gateway must begin with a full report.
+    /// Returns whether the report may be applied. The first report of a gateway must be a full one.
     fn accept_gateway(&mut self, now: Timestamp, from: &ProcessId, report: &Report) -> bool {
         let known = self.gateways.get(from).map(|view| view.incarnation);
         if known.is_some_and(|incarnation| incarnation > report.gateway) {
@@ -193,15 +193,15 @@
             }
             if self.gateways.is_empty() {
                 self.opens_at = now + self.config.settle_time;
-                self.just_taken_over = true;
+                self.needs_solicitation = true;
             }
             self.gateways.insert(from.clone(), GatewayView::new(report.gateway, now));
         }
-        self.hear_from(now, from);
+        self.record_report(now, from);
         true
     }
 
-    fn hear_from(&mut self, now: Timestamp, from: &ProcessId) {
+    fn record_report(&mut self, now: Timestamp, from: &ProcessId) {
         let Some(view) = self.gateways.get_mut(from) else { return };
         view.last_heard = now;
         if !std::mem::take(&mut view.silent) {
@@ -212,9 +212,9 @@
         }
     }
 
-    /// Grants that the gateway has seen are part of its own counts from here on. Gives their
-    /// tenants.
-    fn forget_seen(
+    /// Releases the grants that the gateway acknowledges: its own counts include them from now on.
+    /// Returns their tenants.
+    fn release_acknowledged(
         &mut self,
         now: Timestamp,
         from: &ProcessId,
@@ -224,28 +224,29 @@
             return Vec::new();
         }
         let Some(view) = self.gateways.get_mut(from) else { return Vec::new() };
-        let seen = view.take_seen(report.seen);
+        let seen = view.take_acknowledged(report.seen);
         for grant in &seen {
             self.ahead.note_delay(now.since(grant.sent));
         }
-        seen.into_iter().map(|grant| self.take_back(grant)).collect()
+        seen.into_iter().map(|grant| self.revert_grant(grant)).collect()
     }
 
-    /// Undoes what a grant counted for until its gateway had seen it. Gives its tenant.
-    fn take_back(&mut self, grant: UnseenGrant) -> TenantName {
-        self.slots.remove_unseen(&grant.backend);
-        self.tenants.take_back_grant(&grant.tenant, grant.estimate);
+    /// Reverts the slot and the charge of an unacknowledged grant. Returns its tenant.
+    fn revert_grant(&mut self, grant: UnacknowledgedGrant) -> TenantName {
+        self.slots.remove_unacknowledged(&grant.backend);
+        self.tenants.revert_grant(&grant.tenant, grant.estimate);
         grant.tenant
     }
 
-    /// A full report speaks for what it leaves out: nothing waits and nothing runs there. Gives
-    /// the tenants left out.
+    /// Clears the tenants and back ends that a full report does not list: nothing waits or runs
+    /// there. Returns those tenants.
     fn clear_missing(&mut self, from: &ProcessId, report: &Report) -> Vec<TenantName> {
         let Some(view) = self.gateways.get_mut(from) else { return Vec::new() };
         let listed = |name: &TenantName| report.tenants.iter().any(|tenant| tenant.tenant == *name);
         let missing: Vec<TenantName> =
             view.tenants.keys().filter(|name| !listed(name)).cloned().collect();
-        let listed = |name: &BackendName| report.backends.iter().any(|one| one.backend == *name);
+        let listed =
+            |name: &BackendName| report.backends.iter().any(|backend| backend.backend == *name);
         let gone: Vec<BackendName> =
             view.running.keys().filter(|name| !listed(name)).cloned().collect();
         for name in &missing {
@@ -265,36 +266,36 @@
         self.tenants.change_in_flight(name, running, 0);
     }
 
-    fn take_tenant(&mut self, now: Timestamp, from: &ProcessId, report: TenantReport) {
+    fn apply_tenant_report(&mut self, now: Timestamp, from: &ProcessId, report: TenantReport) {
         let Some(view) = self.gateways.get_mut(from) else { return };
         let previous = view.tenants.insert(report.tenant.clone(), report.clone());
         let known_charge = match &previous {
             Some(previous) => Some(previous.charged),
             None => self.departed_charge(from, &report),
         };
-        // Charges from before this scheduler's time are within the level that gateways remember.
+        // Charges from before the first report are included in the level that gateways report.
         let new_charge = known_charge.map_or(Cost::ZERO, |known| report.charged.minus(known));
         self.tenants.charge(&report.tenant, new_charge);
         let was_running = previous.as_ref().map_or(0, |known| known.running);
         self.tenants.change_in_flight(&report.tenant, was_running, report.running);
         match previous {
             Some(previous) => {
-                let ended = self.tenants.learn(&report, &previous);
+                let ended = self.tenants.update_estimate(&report, &previous);
                 self.ahead.note_ended(now, ended);
             }
-            None if known_charge.is_none() => self.tenants.take_standing(&report),
+            None if known_charge.is_none() => self.tenants.restore(&report),
             None => {}
         }
     }
 
-    /// What the gateway had charged when it was last here in this life of its.
+    /// Returns the tenant's charge when the gateway, in the same incarnation, last reported here.
     fn departed_charge(&self, from: &ProcessId, report: &TenantReport) -> Option<Cost> {
         let incarnation = self.gateways.get(from)?.incarnation;
         let departed = self.departed.get(from).filter(|gone| gone.incarnation == incarnation)?;
         departed.charged.get(&report.tenant).copied()
     }
 
-    fn take_backend(&mut self, now: Timestamp, from: &ProcessId, report: BackendReport) {
+    fn apply_backend_report(&mut self, now: Timestamp, from: &ProcessId, report: BackendReport) {
         self.set_running(from, &report.backend, report.running);
         if report.unreachable {
             self.slots.pause(&report.backend, now + self.config.unreachable_pause);
@@ -310,14 +311,14 @@
         self.slots.change_running(name, previous.unwrap_or(0), running);
     }
 
-    /// Recomputes what of a tenant waits at one gateway and is not covered by a grant under way.
+    /// Recomputes a tenant's waiting requests at one gateway that no unacknowledged grant covers.
     fn refresh_waiting(&mut self, from: &ProcessId, name: &TenantName) {
         let uncovered = self.gateways.get(from).map_or(0, |view| view.uncovered(name));
         self.tenants.set_waiting(from, name, uncovered);
     }
 
     fn drop_gateway(&mut self, from: &ProcessId) {
-        self.expire_unseen(from, Timestamp::NEVER);
+        self.expire_unacknowledged(from, Timestamp::NEVER);
         let Some(view) = self.gateways.get(from) else { return };
         let charged = |(name, report): (&TenantName, &TenantReport)| (name.clone(), report.charged);
         let departed = Departed {
@@ -335,51 +336,51 @@
         self.gateways.remove(from);
         self.departed.insert(from.clone(), departed);
         if self.gateways.is_empty() {
-            self.forget();
+            self.reset();
         }
     }
 
-    /// A cell that nobody reports to any more knows nothing of what goes on. Should it be held here
-    /// again, what gateways remember by then is better than what was known here.
-    fn forget(&mut self) {
-        self.tenants.forget();
+    /// Discards the state of a cell without gateways. After a later takeover, the state reported by
+    /// gateways is more recent.
+    fn reset(&mut self) {
+        self.tenants.reset();
         self.departed.clear();
         self.ahead = AheadEstimate::default();
     }
 
-    /// Takes back slots of grants sent before `limit` that the gateway never confirmed.
-    /// Returns whether there were any.
-    fn expire_unseen(&mut self, from: &ProcessId, limit: Timestamp) -> bool {
+    /// Releases the slots of unacknowledged grants sent before `limit`. Returns whether there were
+    /// any.
+    fn expire_unacknowledged(&mut self, from: &ProcessId, limit: Timestamp) -> bool {
         let Some(view) = self.gateways.get_mut(from) else { return false };
-        let late = view.take_sent_before(limit);
-        let any = !late.is_empty();
-        for grant in late {
-            self.take_back(grant);
+        let expired = view.take_sent_before(limit);
+        let any = !expired.is_empty();
+        for grant in expired {
+            self.revert_grant(grant);
         }
         any
     }
 
-    /// Lets time pass: unconfirmed grants and silent gateways lapse.
+    /// Expires unacknowledged grants and silent gateways.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         let names: Vec<ProcessId> = self.gateways.keys().cloned().collect();
         for name in names {
-            self.lapse(now, &name);
+            self.expire(now, &name);
         }
     }
 
-    fn lapse(&mut self, now: Timestamp, name: &ProcessId) {
+    fn expire(&mut self, now: Timestamp, name: &ProcessId) {
         let Some(view) = self.gateways.get(name) else { return };
         if now.since(view.last_heard) >= self.config.gateway_timeout {
             self.drop_gateway(name);
             return;
         }
         let micros = now.as_micros().saturating_sub(self.config.grant_timeout.as_micros() as u64);
-        if self.expire_unseen(name, Timestamp::from_micros(micros)) {
-            self.silence(name);
+        if self.expire_unacknowledged(name, Timestamp::from_micros(micros)) {
+            self.mark_silent(name);
         }
     }
 
-    fn silence(&mut self, name: &ProcessId) {
+    fn mark_silent(&mut self, name: &ProcessId) {
         let Some(view) = self.gateways.get_mut(name) else { return };
         view.silent = true;
         for tenant in view.tenant_names() {
@@ -387,8 +388,8 @@
         }
     }
 
-    /// When [`Cell::handle_timeout`] and [`Cell::poll_grants`] should be called next, at the
-    /// latest.
+    /// Returns the latest time for the next call of [`Cell::handle_timeout`] and
+    /// [`Cell::poll_grants`].
     pub fn next_timeout(&self, now: Timestamp) -> Timestamp {
         if now < self.opens_at {
             return self.opens_at;
@@ -396,7 +397,7 @@
         now + self.config.grant_timeout
     }
 
-    /// Hands out free slots and returns the messages to send.
+    /// Grants free slots and returns the messages to send.
     pub fn poll_grants(&mut self, now: Timestamp) -> Vec<(ProcessId, Grants)> {
         let mut outgoing: BTreeMap<ProcessId, Grants> = BTreeMap::new();
         for (gateway, needs_full) in std::mem::take(&mut self.answers_due) {
@@ -414,11 +415,11 @@
         outgoing.into_iter().collect()
     }
 
-    /// Once after the cell was taken over: the message that asks every live gateway to report here
-    /// if its own scheduler does not answer. It gathers them all before the cell opens, so that no
-    /// slot is taken for free whose user has not reported yet.
+    /// Returns, once after a takeover, the message that asks every live gateway to report here if
+    /// its own scheduler does not answer. All gateways have to report before the cell opens;
+    /// otherwise slots in use would count as free.
     pub fn take_solicitation(&mut self) -> Option<Grants> {
-        std::mem::take(&mut self.just_taken_over).then(|| self.message(true))
+        std::mem::take(&mut self.needs_solicitation).then(|| self.message(true))
     }
 
     fn message(&self, needs_full: bool) -> Grants {
@@ -433,22 +434,22 @@
 
     fn grant_one(&mut self, now: Timestamp) -> Option<(ProcessId, Grant)> {
         let (tenant, gateway) = self.tenants.next(self.config.share_limit, self.slots.total())?;
-        let backend = self.slots.freest(self.grants_ahead(), now)?.clone();
+        let backend = self.slots.most_free(self.grants_ahead(), now)?.clone();
         let estimate = self.tenants.estimate(&tenant, self.config.first_estimate);
         let view = self.gateways.get_mut(&gateway)?;
         let sequence = view.note_grant(now, &tenant, &backend, estimate);
-        self.slots.add_unseen(&backend);
+        self.slots.add_unacknowledged(&backend);
         let level = self.tenants.note_grant(&gateway, &tenant, estimate);
         self.refresh_waiting(&gateway, &tenant);
         Some((gateway, Grant { sequence, tenant, backend, estimate, level }))
     }
 
     fn grants_ahead(&self) -> u32 {
-        let learned = || self.ahead.per_backend(self.slots.serving_count());
-        self.config.ahead.unwrap_or_else(learned).min(self.slots.largest())
+        let estimated = || self.ahead.per_backend(self.slots.serving_count());
+        self.config.ahead.unwrap_or_else(estimated).min(self.slots.largest())
     }
 
-    /// The cell's standing, for operators.
+    /// Returns the cell's status, for operators.
     pub fn status(&self) -> CellStatus {
         CellStatus {
             slots: self.slots.total(),
--- a/crates/grants/src/contact.rs
+++ b/crates/grants/src/contact.rs
@@ -1,19 +1,19 @@
-//! Which scheduler a gateway reports to.
+//! Selection of the scheduler that a gateway reports to.
 
 use crate::messages::Grants;
 use mastbay_types::{Incarnation, ProcessId, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Settings of the choice.
+/// Settings of the selection of a scheduler.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ContactConfig {
-    /// Silence after which a scheduler counts as unreachable.
+    /// Time without an answer after which a scheduler counts as unreachable.
     pub answer_timeout: Duration,
-    /// How long an unreachable scheduler is passed over at first; doubled each time, up to
+    /// Initial backoff for an unreachable scheduler; doubled after each failure, up to
     /// `longest_pause`.
     pub unreachable_pause: Duration,
-    /// Longest time that a scheduler is passed over.
+    /// Maximum backoff for an unreachable scheduler.
     pub longest_pause: Duration,
 }
 
@@ -27,16 +27,16 @@
     }
 }
 
-/// The scheduler reported to.
+/// The scheduler that the gateway reports to.
 #[derive(Debug)]
 pub(crate) struct Contact {
     pub(crate) scheduler: ProcessId,
-    /// Its life that `seen` counts grants of; zero if it was not heard yet.
+    /// Incarnation to which `seen` refers; zero before the first message.
     pub(crate) incarnation: Incarnation,
-    /// Highest sequence of a grant received.
+    /// Highest sequence number of a received grant.
     pub(crate) seen: u64,
     pub(crate) last_heard: Timestamp,
-    asked_since: Option<Timestamp>,
+    answer_requested_at: Option<Timestamp>,
 }
 
 impl Contact {
@@ -46,47 +46,47 @@
             incarnation: Incarnation::default(),
             seen: 0,
             last_heard: Timestamp::ZERO,
-            asked_since: None,
+            answer_requested_at: None,
         }
     }
 
-    /// Notes that an answer was asked for.
-    pub(crate) fn note_asked(&mut self, now: Timestamp) {
-        self.asked_since.get_or_insert(now);
+    /// Records that an answer was requested.
+    pub(crate) fn note_answer_requested(&mut self, now: Timestamp) {
+        self.answer_requested_at.get_or_insert(now);
     }
 }
 
 /// A scheduler that did not answer.
 #[derive(Debug)]
-struct Avoided {
+struct Backoff {
     until: Timestamp,
     pause: Duration,
 }
 
 /// The schedulers of a cell as one gateway sees them.
 #[derive(Debug)]
-pub(crate) struct SchedulerChoice {
+pub(crate) struct SchedulerSelection {
     config: ContactConfig,
-    /// Live ones, in the cell's rendezvous order.
+    /// Live schedulers in the cell's rendezvous order.
     schedulers: Vec<ProcessId>,
-    avoided: BTreeMap<ProcessId, Avoided>,
-    /// The scheduler that the last one handed the cell to, and until when its word counts more than
-    /// the list.
-    handed_to: Option<(ProcessId, Timestamp)>,
+    backoffs: BTreeMap<ProcessId, Backoff>,
+    /// The scheduler to which the previous one handed the cell over, and the time until which it
+    /// takes precedence over the list.
+    handed_over_to: Option<(ProcessId, Timestamp)>,
     contact: Option<Contact>,
-    /// The scheduler left for another, which is to be told so.
-    left: Option<Contact>,
+    /// The previous scheduler, until the farewell to it is sent.
+    previous: Option<Contact>,
 }
 
-impl SchedulerChoice {
+impl SchedulerSelection {
     pub(crate) fn new(config: ContactConfig) -> Self {
         Self {
             config,
             schedulers: Vec::new(),
-            avoided: BTreeMap::new(),
-            handed_to: None,
+            backoffs: BTreeMap::new(),
+            handed_over_to: None,
             contact: None,
-            left: None,
+            previous: None,
         }
     }
 
@@ -94,12 +94,12 @@
         self.schedulers = schedulers;
     }
 
-    /// Whether any scheduler is known.
+    /// Returns whether any scheduler is known.
     pub(crate) fn has_any(&self) -> bool {
         !self.schedulers.is_empty()
     }
 
-    /// The scheduler reported to.
+    /// Returns the scheduler that the gateway reports to.
     pub(crate) fn contact(&self) -> Option<&Contact> {
         self.contact.as_ref()
     }
@@ -108,13 +108,13 @@
         self.contact.as_mut()
     }
 
-    /// The scheduler left, once after each change.
-    pub(crate) fn take_left(&mut self) -> Option<Contact> {
-        self.left.take()
+    /// Returns the previous scheduler, once after each change.
+    pub(crate) fn take_previous(&mut self) -> Option<Contact> {
+        self.previous.take()
     }
 
-    /// Takes a message. Returns whether it comes from the scheduler reported to, in its latest
-    /// life; any other's is to be passed over.
+    /// Handles a message. Returns whether it comes from the latest incarnation of the scheduler
+    /// that the gateway reports to; messages of others are to be ignored.
     pub(crate) fn note_message(
         &mut self,
         now: Timestamp,
@@ -134,64 +134,68 @@
             contact.seen = 0;
         }
         contact.last_heard = now;
-        contact.asked_since = None;
+        contact.answer_requested_at = None;
         if let Some(last) = message.grants.last() {
             contact.seen = contact.seen.max(last.sequence);
         }
-        self.avoided.remove(from);
+        self.backoffs.remove(from);
         if let Some(successor) = &message.moved_to {
-            self.handed_to = Some((successor.clone(), now + self.config.unreachable_pause));
+            self.handed_over_to = Some((successor.clone(), now + self.config.unreachable_pause));
         }
         true
     }
 
-    /// Another scheduler has taken the cell over. If the one reported to owes an answer, it is not
-    /// waited for any longer.
+    /// Handles a message of another scheduler that has taken over the cell. Stops waiting for the
+    /// current scheduler if its answer is pending.
     fn consider_solicitation(&mut self, now: Timestamp, message: &Grants) {
-        let owes_answer = self.contact.as_ref().is_some_and(|one| one.asked_since.is_some());
-        if message.needs_full && owes_answer {
-            self.avoid_contact(now);
+        let answer_pending =
+            self.contact.as_ref().is_some_and(|contact| contact.answer_requested_at.is_some());
+        if message.needs_full && answer_pending {
+            self.back_off_from_contact(now);
         }
     }
 
-    /// Keeps to the first scheduler in order that is not known to be unreachable. Returns whether
-    /// another one is reported to from now on.
-    pub(crate) fn choose(&mut self, now: Timestamp) -> bool {
-        self.give_up_silent(now);
-        let best = self.best(now).cloned();
-        if best.as_ref() == self.contact.as_ref().map(|contact| &contact.scheduler) {
+    /// Selects the first scheduler in order that is not in backoff. Returns whether the selection
+    /// changed.
+    pub(crate) fn select(&mut self, now: Timestamp) -> bool {
+        self.check_answer_timeout(now);
+        let preferred = self.preferred(now).cloned();
+        if preferred.as_ref() == self.contact.as_ref().map(|contact| &contact.scheduler) {
             return false;
         }
-        self.left = self.contact.take();
-        self.contact = best.map(Contact::new);
+        self.previous = self.contact.take();
+        self.contact = preferred.map(Contact::new);
         true
     }
 
-    fn best(&self, now: Timestamp) -> Option<&ProcessId> {
-        let usable =
-            |name: &ProcessId| self.avoided.get(name).is_none_or(|avoided| now >= avoided.until);
-        if let Some((successor, until)) = &self.handed_to
+    fn preferred(&self, now: Timestamp) -> Option<&ProcessId> {
+        let usable = |scheduler: &ProcessId| {
+            self.backoffs.get(scheduler).is_none_or(|backoff| now >= backoff.until)
+        };
+        if let Some((successor, until)) = &self.handed_over_to
             && now < *until
             && usable(successor)
         {
             return Some(successor);
         }
-        // With every scheduler avoided, the first is as good as any.
-        self.schedulers.iter().find(|name| usable(name)).or(self.schedulers.first())
+        // With all schedulers in backoff, use the first.
+        self.schedulers.iter().find(|scheduler| usable(scheduler)).or(self.schedulers.first())
     }
 
-    fn give_up_silent(&mut self, now: Timestamp) {
-        let asked = self.contact.as_ref().and_then(|contact| contact.asked_since);
-        if asked.is_some_and(|asked| now.since(asked) >= self.config.answer_timeout) {
-            self.avoid_contact(now);
+    fn check_answer_timeout(&mut self, now: Timestamp) {
+        let requested_at = self.contact.as_ref().and_then(|contact| contact.answer_requested_at);
+        if requested_at
+            .is_some_and(|requested_at| now.since(requested_at) >= self.config.answer_timeout)
+        {
+            self.back_off_from_contact(now);
         }
     }
 
-    fn avoid_contact(&mut self, now: Timestamp) {
+    fn back_off_from_contact(&mut self, now: Timestamp) {
         let Some(contact) = self.contact.take() else { return };
-        let known = self.avoided.get(&contact.scheduler);
-        let pause = known.map_or(self.config.unreachable_pause, |avoided| avoided.pause * 2);
+        let known = self.backoffs.get(&contact.scheduler);
+        let pause = known.map_or(self.config.unreachable_pause, |backoff| backoff.pause * 2);
         let pause = pause.min(self.config.longest_pause);
-        self.avoided.insert(contact.scheduler, Avoided { until: now + pause, pause });
+        self.backoffs.insert(contact.scheduler, Backoff { until: now + pause, pause });
     }
 }
--- a/crates/grants/src/demand.rs
+++ b/crates/grants/src/demand.rs
@@ -1,6 +1,6 @@
-//! The gateway's side: requests that wait, requests that run, and the reports about them.
+//! The gateway's side of a cell: waiting and running requests, and the reports about them.
 
-use crate::contact::{Contact, ContactConfig, SchedulerChoice};
+use crate::contact::{Contact, ContactConfig, SchedulerSelection};
 use crate::ledger::Ledger;
 use crate::messages::{BackendReport, Grants, Report, TenantReport};
 use mastbay_types::{
@@ -12,18 +12,18 @@
 /// Settings of a [`Demand`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DemandConfig {
-    /// Least time between two reports about requests that came, started or ended while others wait:
-    /// whatever waits gains little from haste, and a report for many costs little more than for one.
+    /// Minimum time between reports about requests that arrived, started or ended while others
+    /// wait. Batches reports: requests that already wait gain little from an earlier one.
     pub report_spacing: Duration,
-    /// Least time between two reports when a request comes and none waits before it.
+    /// Minimum time between reports when a request arrives and no other waits.
     pub eager_spacing: Duration,
-    /// Time between reports about cost alone, and between heartbeats while anything is at stake.
+    /// Time between reports about costs alone, and between heartbeats while requests wait or run.
     pub progress_interval: Duration,
-    /// Time between heartbeats while nothing waits or runs.
+    /// Time between heartbeats while no request waits or runs.
     pub idle_interval: Duration,
-    /// Time between full reports, which repair what lost messages left.
+    /// Time between full reports, which repair the effects of lost messages.
     pub full_interval: Duration,
-    /// Which scheduler is reported to.
+    /// Settings of the selection of a scheduler.
     pub contact: ContactConfig,
 }
 
@@ -45,9 +45,9 @@
 pub struct Assignment {
     /// The request.
     pub request: RequestId,
-    /// Whose it is.
+    /// The tenant of the request.
     pub tenant: TenantName,
-    /// Where it goes.
+    /// The back end to send the request to.
     pub backend: BackendName,
 }
 
@@ -62,12 +62,12 @@
 /// How soon a report is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// With the next account of costs.
-    Calm,
+    /// After `progress_interval`, or after `idle_interval` while no request waits or runs.
+    Low,
     /// After `report_spacing`.
-    Soon,
+    Medium,
     /// After `eager_spacing`.
-    Now,
+    High,
 }
 
 /// One gateway's demand for one cell.
@@ -76,99 +76,99 @@
     cell: CellId,
     config: DemandConfig,
     incarnation: Incarnation,
-    choice: SchedulerChoice,
+    selection: SchedulerSelection,
     tenants: BTreeMap<TenantName, Ledger>,
-    /// Requests that wait, over all tenants.
+    /// Waiting requests, over all tenants.
     waiting: usize,
     running: BTreeMap<RequestId, Running>,
-    running_at: BTreeMap<BackendName, u32>,
+    running_by_backend: BTreeMap<BackendName, u32>,
     unreachable: BTreeSet<BackendName>,
-    /// Changed since the last report.
+    /// Tenants and back ends that changed since the last report.
     changed_tenants: BTreeSet<TenantName>,
     changed_backends: BTreeSet<BackendName>,
-    /// Changed since the last full report.
-    touched_tenants: BTreeSet<TenantName>,
+    /// Tenants that changed since the last full report.
+    tenants_since_full: BTreeSet<TenantName>,
     urgency: Urgency,
     last_report: Timestamp,
     last_full: Option<Timestamp>,
 }
 
 impl Demand {
-    /// No demand yet.
+    /// Creates the demand of a gateway without requests.
     pub fn new(cell: CellId, config: DemandConfig, incarnation: Incarnation) -> Self {
         Self {
-            choice: SchedulerChoice::new(config.contact.clone()),
+            selection: SchedulerSelection::new(config.contact.clone()),
             cell,
             config,
             incarnation,
             tenants: BTreeMap::new(),
             waiting: 0,
             running: BTreeMap::new(),
-            running_at: BTreeMap::new(),
+            running_by_backend: BTreeMap::new(),
             unreachable: BTreeSet::new(),
             changed_tenants: BTreeSet::new(),
             changed_backends: BTreeSet::new(),
-            touched_tenants: BTreeSet::new(),
-            urgency: Urgency::Calm,
+            tenants_since_full: BTreeSet::new(),
+            urgency: Urgency::Low,
             last_report: Timestamp::ZERO,
             last_full: None,
         }
     }
 
-    /// Live schedulers in this cell's rendezvous order.
+    /// Sets the live schedulers, in this cell's rendezvous order.
     pub fn set_schedulers(&mut self, schedulers: Vec<ProcessId>) {
-        self.choice.set_schedulers(schedulers);
+        self.selection.set_schedulers(schedulers);
     }
 
-    /// The scheduler that reports go to.
+    /// Returns the scheduler that receives the reports.
     pub fn scheduler(&self) -> Option<&ProcessId> {
-        self.choice.contact().map(|contact| &contact.scheduler)
+        self.selection.contact().map(|contact| &contact.scheduler)
     }
 
     /// Adds a request to its tenant's queue.
     pub fn enqueue(&mut self, tenant: &TenantName, request: RequestId) {
-        let alone = self.waiting == 0;
+        let is_first = self.waiting == 0;
         self.ledger(tenant).waiting.push_back(request);
         self.waiting += 1;
-        self.hurry(if alone { Urgency::Now } else { Urgency::Soon });
+        self.raise_urgency(if is_first { Urgency::High } else { Urgency::Medium });
     }
 
-    /// Puts a request that was granted, and is to be tried again, back at the head of its queue.
+    /// Moves a granted request that is to be retried back to the head of its tenant's queue.
     pub fn requeue(&mut self, request: RequestId) {
         let Some(running) = self.running.get(&request) else { return };
         let tenant = running.tenant.clone();
         self.finish(request, Cost::ZERO, false);
         self.ledger(&tenant).waiting.push_front(request);
         self.waiting += 1;
-        self.hurry(Urgency::Now);
+        self.raise_urgency(Urgency::High);
     }
 
-    /// Takes a waiting request out. Returns whether it was waiting.
+    /// Removes a waiting request. Returns whether it was waiting.
     pub fn cancel(&mut self, tenant: &TenantName, request: RequestId) -> bool {
         let cancelled = self.ledger(tenant).cancel(request);
         if cancelled {
             self.waiting -= 1;
-            self.hurry(Urgency::Soon);
+            self.raise_urgency(Urgency::Medium);
         }
         cancelled
     }
 
-    /// Requests of `tenant` that wait here.
+    /// Returns the number of waiting requests of `tenant`.
     pub fn waiting(&self, tenant: &TenantName) -> usize {
         self.tenants.get(tenant).map_or(0, |ledger| ledger.waiting.len())
     }
 
-    /// All requests that wait here.
+    /// Returns the number of waiting requests of all tenants.
     pub fn waiting_in_total(&self) -> usize {
         self.waiting
     }
 
-    /// All requests that run for this gateway.
+    /// Returns the number of running requests of all tenants.
     pub fn running_in_total(&self) -> usize {
         self.running.len()
     }
 
-    /// Tenants with their numbers of waiting requests, those with none left out.
+    /// Returns the tenants with waiting requests and the number of these.
     pub fn backlog(&self) -> impl Iterator<Item = (&TenantName, usize)> {
         self.tenants
             .iter()
@@ -176,25 +176,24 @@
             .filter(|(_, waiting)| *waiting > 0)
     }
 
-    /// Takes a scheduler's message and binds waiting requests to the granted back ends. Grants of
-    /// a scheduler that is not, or no longer, the one reported to are passed over: what they would
-    /// bind waits for the other one.
+    /// Handles a scheduler's message and assigns waiting requests to the granted back ends. Ignores
+    /// grants of any other scheduler than the one that receives the reports.
     pub fn handle_grants(
         &mut self,
         now: Timestamp,
         from: &ProcessId,
         message: Grants,
     ) -> Vec<Assignment> {
-        if !self.choice.note_message(now, from, &message) {
+        if !self.selection.note_message(now, from, &message) {
             return Vec::new();
         }
         if message.needs_full {
             self.last_full = None;
-            self.hurry(Urgency::Now);
+            self.raise_urgency(Urgency::High);
         }
         let mut assignments = Vec::new();
         for grant in message.grants {
-            self.hurry(Urgency::Soon);
+            self.raise_urgency(Urgency::Medium);
             let Some(request) = self.ledger(&grant.tenant).start(&grant) else { continue };
             self.waiting -= 1;
             let running = Running {
@@ -204,7 +203,7 @@
                 delivered: Cost::ZERO,
             };
             self.running.insert(request, running);
-            *self.running_at.entry(grant.backend.clone()).or_default() += 1;
+            *self.running_by_backend.entry(grant.backend.clone()).or_default() += 1;
             self.changed_backends.insert(grant.backend.clone());
             let (tenant, backend) = (grant.tenant, grant.backend);
             assignments.push(Assignment { request, tenant, backend });
@@ -212,10 +211,10 @@
         assignments
     }
 
-    /// Adds service that a running request has just received.
-    pub fn progress(&mut self, request: RequestId, more: Cost) {
+    /// Adds the cost of service that a running request received since the last call.
+    pub fn progress(&mut self, request: RequestId, cost: Cost) {
         let Some(running) = self.running.get_mut(&request) else { return };
-        running.delivered += more;
+        running.delivered += cost;
         let excess = running.delivered.minus(running.charged);
         if excess <= Cost::ZERO {
             return;
@@ -225,57 +224,57 @@
         self.ledger(&tenant).charge(excess);
     }
 
-    /// Ends a running request, which cost `total` in all. `learn` says whether the cost is
-    /// typical; a broken attempt's is not.
+    /// Ends a running request with the total cost `total`. `learn` is whether the cost counts for
+    /// the estimate of further requests; that of a failed attempt should not.
     pub fn finish(&mut self, request: RequestId, total: Cost, learn: bool) {
         let Some(running) = self.running.remove(&request) else { return };
         let ledger = self.ledger(&running.tenant);
         ledger.charge(total.minus(running.charged));
         ledger.finish(learn.then_some(total));
-        if let Some(count) = self.running_at.get_mut(&running.backend) {
+        if let Some(count) = self.running_by_backend.get_mut(&running.backend) {
             *count = count.saturating_sub(1);
         }
         self.changed_backends.insert(running.backend);
-        self.hurry(Urgency::Soon);
+        self.raise_urgency(Urgency::Medium);
     }
 
-    /// Remembers that a connection to `backend` failed, for the next report.
+    /// Records a failed connection to `backend` for the next report.
     pub fn note_unreachable(&mut self, backend: &BackendName) {
         self.unreachable.insert(backend.clone());
         self.changed_backends.insert(backend.clone());
-        self.hurry(Urgency::Now);
+        self.raise_urgency(Urgency::High);
     }
 
-    /// A tenant's ledger, which is about to change.
+    /// Returns a tenant's ledger for a change and marks the tenant as changed.
     fn ledger(&mut self, tenant: &TenantName) -> &mut Ledger {
         self.changed_tenants.insert(tenant.clone());
-        self.touched_tenants.insert(tenant.clone());
+        self.tenants_since_full.insert(tenant.clone());
         self.tenants.entry(tenant.clone()).or_default()
     }
 
-    fn hurry(&mut self, urgency: Urgency) {
+    fn raise_urgency(&mut self, urgency: Urgency) {
         self.urgency = self.urgency.max(urgency);
     }
 
-    /// A report to send now, if one is due, and the scheduler it goes to. To be called until it
-    /// gives none.
+    /// Returns a report that is due and the scheduler to send it to. To be called until it returns
+    /// `None`.
     pub fn poll_report(&mut self, now: Timestamp) -> Option<(ProcessId, Report)> {
-        if self.choice.choose(now) {
+        if self.selection.select(now) {
             self.last_full = None;
-            self.hurry(Urgency::Now);
+            self.raise_urgency(Urgency::High);
         }
-        if let Some(left) = self.choice.take_left() {
-            return Some(self.farewell(left));
+        if let Some(previous) = self.selection.take_previous() {
+            return Some(self.farewell(previous));
         }
         if now < self.next_timeout() {
             return None;
         }
         let full = self.full_is_due(now);
-        let (tenants, backends) = if full { self.everything() } else { self.changes() };
-        let contact = self.choice.contact_mut()?;
+        let (tenants, backends) = if full { self.all_reports() } else { self.changed_reports() };
+        let contact = self.selection.contact_mut()?;
         let wants_answer = now.since(contact.last_heard) >= self.config.progress_interval;
         if wants_answer {
-            contact.note_asked(now);
+            contact.note_answer_requested(now);
         }
         let report = Report {
             cell: self.cell.clone(),
@@ -297,26 +296,26 @@
         self.changed_tenants.clear();
         self.changed_backends.clear();
         self.unreachable.clear();
-        self.urgency = Urgency::Calm;
+        self.urgency = Urgency::Low;
         self.last_report = now;
         if full {
             self.last_full = Some(now);
-            self.touched_tenants.clear();
+            self.tenants_since_full.clear();
         }
     }
 
-    /// When [`Demand::poll_report`] should be called next, at the latest.
+    /// Returns the latest time for the next call of [`Demand::poll_report`].
     pub fn next_timeout(&self) -> Timestamp {
-        if self.choice.contact().is_none() {
-            return if self.choice.has_any() { self.last_report } else { Timestamp::NEVER };
+        if self.selection.contact().is_none() {
+            return if self.selection.has_any() { self.last_report } else { Timestamp::NEVER };
         }
         let idle = self.running.is_empty() && self.waiting == 0;
         let wait = match self.urgency {
             _ if self.last_full.is_none() => self.config.eager_spacing,
-            Urgency::Now => self.config.eager_spacing,
-            Urgency::Soon => self.config.report_spacing,
-            Urgency::Calm if idle => self.config.idle_interval,
-            Urgency::Calm => self.config.progress_interval,
+            Urgency::High => self.config.eager_spacing,
+            Urgency::Medium => self.config.report_spacing,
+            Urgency::Low if idle => self.config.idle_interval,
+            Urgency::Low => self.config.progress_interval,
         };
         self.last_report + wait
     }
@@ -325,32 +324,34 @@
         self.last_full.is_none_or(|last| now.since(last) >= self.config.full_interval)
     }
 
-    /// Tells the scheduler left that nothing waits or runs here for it any more.
-    fn farewell(&self, left: Contact) -> (ProcessId, Report) {
+    /// Returns the last report to the previous scheduler, which clears all requests of this
+    /// gateway.
+    fn farewell(&self, previous: Contact) -> (ProcessId, Report) {
         let report = Report {
             cell: self.cell.clone(),
             gateway: self.incarnation,
-            scheduler: left.incarnation,
-            seen: left.seen,
+            scheduler: previous.incarnation,
+            seen: previous.seen,
             full: true,
             wants_answer: false,
             moved_to: self.scheduler().cloned(),
             tenants: Vec::new(),
             backends: Vec::new(),
         };
-        (left.scheduler, report)
+        (previous.scheduler, report)
     }
 
-    /// All tenants with anything to do, and those that had since the last full report.
-    fn everything(&self) -> (Vec<TenantReport>, Vec<BackendReport>) {
+    /// Returns the active tenants and those that changed since the last full report, and all back
+    /// ends with running requests.
+    fn all_reports(&self) -> (Vec<TenantReport>, Vec<BackendReport>) {
         let tenants = self
             .tenants
             .iter()
-            .filter(|(name, ledger)| ledger.is_active() || self.touched_tenants.contains(*name))
+            .filter(|(name, ledger)| ledger.is_active() || self.tenants_since_full.contains(*name))
             .map(|(name, ledger)| ledger.report(name, true))
             .collect();
         let backends = self
-            .running_at
+            .running_by_backend
             .iter()
             .filter(|(_, running)| **running > 0)
             .map(|(name, _)| self.backend_report(name))
@@ -358,7 +359,7 @@
         (tenants, backends)
     }
 
-    fn changes(&self) -> (Vec<TenantReport>, Vec<BackendReport>) {
+    fn changed_reports(&self) -> (Vec<TenantReport>, Vec<BackendReport>) {
         let tenants = self
             .changed_tenants
             .iter()
@@ -371,7 +372,7 @@
     fn backend_report(&self, name: &BackendName) -> BackendReport {
         BackendReport {
             backend: name.clone(),
-            running: self.running_at.get(name).copied().unwrap_or(0),
+            running: self.running_by_backend.get(name).copied().unwrap_or(0),
             unreachable: self.unreachable.contains(name),
         }
     }
--- a/crates/grants/src/ledger.rs
+++ b/crates/grants/src/ledger.rs
@@ -1,4 +1,4 @@
-//! A gateway's account of one tenant in one cell.
+//! A gateway's accounting of one tenant in one cell.
 
 use crate::messages::{Grant, Standing, TenantReport};
 use mastbay_fairness::Level;
@@ -16,18 +16,18 @@
     last_grant: Option<LastGrant>,
 }
 
-/// What the last grant told of a tenant.
+/// State of a tenant after its last grant.
 #[derive(Debug)]
 struct LastGrant {
-    /// `None` once the tenant had nothing to do: its old level would be credit for idle time.
+    /// `None` once the tenant was idle: its old level would give it credit for idle time.
     level: Option<Level>,
     estimate: Cost,
-    /// The ledger's charge right after it.
+    /// Total charge right after the grant.
     charged: Cost,
 }
 
 impl Ledger {
-    /// Takes the first waiting request for a grant.
+    /// Starts the first waiting request with a grant. Returns `None` if none waits.
     pub(crate) fn start(&mut self, grant: &Grant) -> Option<RequestId> {
         let request = self.waiting.pop_front()?;
         self.charged += grant.estimate;
@@ -40,35 +40,36 @@
         Some(request)
     }
 
-    /// Adds to what is charged, or takes back where negative.
+    /// Adds `cost` to the total charge; a negative cost reduces it.
     pub(crate) fn charge(&mut self, cost: Cost) {
         self.charged += cost;
     }
 
-    /// Ends a running request; `typical` is its cost if it tells something of such requests.
+    /// Ends a running request; `typical` is its cost if it is to count for the estimate of further
+    /// requests.
     pub(crate) fn finish(&mut self, typical: Option<Cost>) {
         self.running -= 1;
         if let Some(cost) = typical {
             self.finished += 1;
             self.finished_cost += cost;
         }
-        self.note_idleness();
+        self.clear_level_if_idle();
     }
 
-    /// Takes a waiting request out. Returns whether it was there.
+    /// Removes a waiting request. Returns whether it was waiting.
     pub(crate) fn cancel(&mut self, request: RequestId) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| *waiting != request);
-        self.note_idleness();
+        self.clear_level_if_idle();
         self.waiting.len() < before
     }
 
-    /// Whether anything waits or runs.
+    /// Returns whether any request waits or runs.
     pub(crate) fn is_active(&self) -> bool {
         !self.waiting.is_empty() || self.running > 0
     }
 
-    fn note_idleness(&mut self) {
+    fn clear_level_if_idle(&mut self) {
         if self.is_active() {
             return;
         }
@@ -77,8 +78,8 @@
         }
     }
 
-    /// The account as it is reported; `full` adds what a scheduler that does not know the tenant
-    /// needs.
+    /// Returns the report on this tenant; `full` adds the state that a scheduler needs if it does
+    /// not know the tenant.
     pub(crate) fn report(&self, tenant: &TenantName, full: bool) -> TenantReport {
         TenantReport {
             tenant: tenant.clone(),
--- a/crates/grants/src/lib.rs
+++ b/crates/grants/src/lib.rs
@@ -1,9 +1,10 @@
-//! Grants: the scheduler of a cell tells gateways which tenant's request may go to which back end.
+//! Grants: the scheduler of a cell decides which tenant's request a gateway may send to which back
+//! end.
 //!
-//! Both sides are pure state machines. Everything a gateway reports is an absolute number (what
-//! waits, what runs, what was charged), so a lost or repeated report does no harm, and a scheduler
-//! that starts with empty state is whole again after one full report from each gateway. Between
-//! reports a scheduler counts the grants that a gateway can't yet have seen, by sequence number.
+//! Both sides are pure state machines. Gateways report absolute numbers (waiting and running
+//! requests, charges), so lost or repeated reports are harmless, and a scheduler without state is
+//! complete after one full report from each gateway. Between reports a scheduler tracks the grants
+//! that a gateway can't have received yet, by sequence number.
 
 mod ahead;
 mod cell;
--- a/crates/grants/src/messages.rs
+++ b/crates/grants/src/messages.rs
@@ -1,4 +1,4 @@
-//! What gateways and schedulers tell each other about one cell.
+//! Messages between gateways and schedulers about one cell.
 
 use mastbay_fairness::Level;
 use mastbay_types::{BackendName, CellId, Cost, Incarnation, ProcessId, TenantName};
@@ -17,19 +17,19 @@
     pub charged: Cost,
     /// Requests that ended here since the gateway started.
     pub finished: u64,
-    /// What those cost together.
+    /// Total cost of the ended requests.
     pub finished_cost: Cost,
-    /// What a scheduler that does not know the tenant starts from; in full reports only.
+    /// Initial state for a scheduler that does not know the tenant; in full reports only.
     pub standing: Option<Standing>,
 }
 
-/// A tenant's standing as a gateway remembers it from its last grant.
+/// The state of a tenant since its last grant at a gateway, from which a new scheduler starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Standing {
-    /// The level after that grant. `None` if the tenant had nothing to do here since: its old level
-    /// would be credit for idle time.
+    /// The level after that grant. `None` if the tenant has been idle here since: its old level
+    /// would give it credit for idle time.
     pub level: Option<Level>,
-    /// What was charged here since that grant.
+    /// Cost charged here since that grant.
     pub charged_since: Cost,
     /// The estimate of that grant.
     pub estimate: Cost,
@@ -40,9 +40,9 @@
 pub struct BackendReport {
     /// The back end.
     pub backend: BackendName,
-    /// Requests of this gateway that run there.
+    /// Requests of this gateway that run on the back end.
     pub running: u32,
-    /// Whether the gateway just failed to connect to it.
+    /// Whether the gateway failed to connect to it since its last report.
     pub unreachable: bool,
 }
 
@@ -51,17 +51,18 @@
 pub struct Report {
     /// The cell.
     pub cell: CellId,
-    /// The gateway's life.
+    /// The gateway's incarnation.
     pub gateway: Incarnation,
-    /// The scheduler's life that `seen` counts grants of; zero if none was heard.
+    /// The scheduler's incarnation to which `seen` refers; zero before its first message.
     pub scheduler: Incarnation,
     /// Highest grant sequence received from that scheduler.
     pub seen: u64,
-    /// Whether everything is listed; otherwise only what changed.
+    /// Whether all tenants and back ends are listed, or only those that changed.
     pub full: bool,
-    /// Whether the gateway asks for an answer even if there is nothing to grant.
+    /// Whether the gateway requests an answer even without grants.
     pub wants_answer: bool,
-    /// Set in the last report to a scheduler: whom the gateway reports to from now on.
+    /// Set in the last report to a scheduler: the scheduler that the gateway reports to from now
+    /// on.
     pub moved_to: Option<ProcessId>,
     /// Tenants, all or those that changed.
     pub tenants: Vec<TenantReport>,
@@ -69,16 +70,17 @@
     pub backends: Vec<BackendReport>,
 }
 
-/// Leave to send one request of `tenant` to `backend`.
+/// Permission to send one request of `tenant` to `backend`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Position among the grants of this scheduler's life to this gateway for this cell, from 1.
+    /// Sequence number among the grants of this scheduler incarnation to this gateway for this
+    /// cell, from 1.
     pub sequence: u64,
-    /// Whose request may go.
+    /// The tenant whose request may be sent.
     pub tenant: TenantName,
-    /// Where to.
+    /// The back end to which it may be sent.
     pub backend: BackendName,
-    /// What the scheduler charged in advance.
+    /// Cost that the scheduler charged in advance.
     pub estimate: Cost,
     /// The tenant's level after that charge.
     pub level: Level,
@@ -89,11 +91,11 @@
 pub struct Grants {
     /// The cell.
     pub cell: CellId,
-    /// The scheduler's life.
+    /// The scheduler's incarnation.
     pub scheduler: Incarnation,
     /// Whether the scheduler does not know this gateway and needs a full report.
     pub needs_full: bool,
-    /// Set when the cell was handed over: the scheduler to report to.
+    /// Set after the cell was handed over: the scheduler to report to.
     pub moved_to: Option<ProcessId>,
     /// The grants.
     pub grants: Vec<Grant>,
--- a/crates/grants/src/status.rs
+++ b/crates/grants/src/status.rs
@@ -1,31 +1,31 @@
-//! A cell's standing, for operators.
+//! Status of a cell, for operators.
 
 use mastbay_types::{Cost, TenantName};
 
-/// One tenant's standing in a cell.
+/// Status of one tenant in a cell.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TenantStatus {
     /// The tenant.
     pub tenant: TenantName,
-    /// Requests that wait over all gateways.
+    /// Waiting requests, over all gateways.
     pub waiting: u32,
-    /// Requests that run, or are about to.
+    /// Running requests and unacknowledged grants.
     pub in_flight: u32,
-    /// Service over weight, in cost units.
+    /// Service received divided by weight, in cost units.
     pub level: f64,
-    /// Learned cost of a request.
+    /// Estimated cost of a request.
     pub estimate: Cost,
 }
 
-/// A cell's standing.
+/// Status of a cell.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CellStatus {
-    /// Slots of back ends that take work.
+    /// Slots of back ends that are not leaving.
     pub slots: u32,
     /// Slots in use.
     pub in_use: u32,
-    /// Gateways heard.
+    /// Number of gateways that report to this scheduler.
     pub gateways: usize,
-    /// Tenants with work that waits, the one due next first.
+    /// Tenants with waiting requests, in the order in which they are served next.
     pub backlogged: Vec<TenantStatus>,
 }
--- a/crates/grants/src/tenants.rs
+++ b/crates/grants/src/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants of a cell: what waits, what runs, who comes next and what a request probably costs.
+//! The tenants of a cell: waiting and running requests, the order of service and cost estimates.
 
 use crate::messages::TenantReport;
 use crate::status::TenantStatus;
@@ -7,21 +7,21 @@
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Share of a new observation in a tenant's learned cost.
-const ESTIMATE_GAIN: f64 = 0.1;
+/// Weight of one ended request in the moving average of a tenant's cost.
+const ESTIMATE_SMOOTHING: f64 = 0.1;
 
 #[derive(Debug, Default)]
 struct Tenant {
-    /// Gateways at which work of the tenant waits that no grant covers yet, with its amount.
+    /// Waiting requests without a grant by gateway; gateways without any are left out.
     waiting: BTreeMap<ProcessId, u32>,
-    /// The gateway last granted to; the next one in order comes next.
+    /// The gateway of the last grant, for round-robin order among gateways.
     last_gateway: Option<ProcessId>,
-    /// Requests that run, as reported, and grants that no gateway can have seen yet.
+    /// Running requests, as reported, and unacknowledged grants.
     in_flight: u32,
-    /// The highest level that gateways remember of a predecessor's grants.
-    remembered_level: Option<Level>,
-    /// What gateways have charged since those grants.
-    remembered_charges: Cost,
+    /// The highest level after a predecessor's grants, as reported by gateways.
+    restored_level: Option<Level>,
+    /// Cost that gateways charged since those grants.
+    restored_charges: Cost,
     estimate: Option<f64>,
 }
 
@@ -30,7 +30,7 @@
         self.in_flight > 0 || !self.waiting.is_empty()
     }
 
-    /// The gateway after the one last granted to, among those where the tenant's work waits.
+    /// Returns the gateway after that of the last grant, among those with waiting requests.
     fn next_gateway(&self) -> Option<&ProcessId> {
         let after = self.last_gateway.as_ref().and_then(|last| {
             self.waiting.range::<ProcessId, _>((Excluded(last), Unbounded)).next()
@@ -46,12 +46,12 @@
     tenants: BTreeMap<TenantName, Tenant>,
     /// Sum of the weights of tenants that wait or run.
     active_weight: u64,
-    /// Whether levels are known as far as they will be. Before that none is raised to another's.
+    /// Whether gateways had time to report levels. Before that, no tenant enters the fair order.
     open: bool,
 }
 
 impl Tenants {
-    /// Declares a tenant's weight.
+    /// Sets a tenant's weight.
     pub(crate) fn set_weight(&mut self, name: &TenantName, weight: Weight) {
         if self.tenants.get(name).is_some_and(Tenant::is_active) {
             let before = u64::from(self.order.weight(name).get());
@@ -60,12 +60,12 @@
         self.order.set_weight(name, weight);
     }
 
-    /// Changes a tenant and keeps what is derived from it: whether it is backlogged, and the sum
-    /// of active weights.
-    fn change(&mut self, name: &TenantName, change: impl FnOnce(&mut Tenant)) {
+    /// Changes a tenant and updates the derived state: whether it is backlogged, and the sum of
+    /// active weights.
+    fn update(&mut self, name: &TenantName, update: impl FnOnce(&mut Tenant)) {
         let tenant = self.tenants.entry(name.clone()).or_default();
         let was_active = tenant.is_active();
-        change(tenant);
+        update(tenant);
         let (is_active, backlogged) = (tenant.is_active(), !tenant.waiting.is_empty());
         let weight = u64::from(self.order.weight(name).get());
         match (was_active, is_active) {
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Adds to what a tenant is charged, or takes back where negative.
+    /// Adds `cost` to a tenant's charge; a negative cost reduces it.
     pub(crate) fn charge(&mut self, name: &TenantName, cost: Cost) {
         self.order.charge(name, cost);
     }
 
-    /// Sets what of a tenant waits at a gateway and is not covered by a grant under way.
+    /// Sets the number of a tenant's waiting requests without a grant at a gateway.
     pub(crate) fn set_waiting(&mut self, gateway: &ProcessId, name: &TenantName, waiting: u32) {
-        self.change(name, |tenant| {
+        self.update(name, |tenant| {
             match waiting {
                 0 => tenant.waiting.remove(gateway),
                 waiting => tenant.waiting.insert(gateway.clone(), waiting),
@@ -93,14 +93,14 @@
         });
     }
 
-    /// Replaces one count of a tenant's requests in flight by another.
+    /// Replaces `before` of a tenant's requests in flight by `after`.
     pub(crate) fn change_in_flight(&mut self, name: &TenantName, before: u32, after: u32) {
-        self.change(name, |tenant| {
+        self.update(name, |tenant| {
             tenant.in_flight = (tenant.in_flight + after).saturating_sub(before);
         });
     }
 
-    /// Charges a grant in advance. Gives the tenant's level after it.
+    /// Charges the estimate of a grant in advance. Returns the tenant's level after it.
     pub(crate) fn note_grant(
         &mut self,
         gateway: &ProcessId,
@@ -109,36 +109,37 @@
     ) -> Level {
         self.order.note_served(name);
         self.order.charge(name, estimate);
-        self.change(name, |tenant| {
+        self.update(name, |tenant| {
             tenant.last_gateway = Some(gateway.clone());
             tenant.in_flight += 1;
         });
         self.order.level(name)
     }
 
-    /// Undoes what a grant counted for until its gateway had seen it.
-    pub(crate) fn take_back_grant(&mut self, name: &TenantName, estimate: Cost) {
+    /// Reverts the charge and the in-flight count of an unacknowledged grant.
+    pub(crate) fn revert_grant(&mut self, name: &TenantName, estimate: Cost) {
         self.change_in_flight(name, 1, 0);
         self.order.charge(name, Cost::ZERO.minus(estimate));
     }
 
-    /// Starts from what a gateway remembers of a predecessor.
-    pub(crate) fn take_standing(&mut self, report: &TenantReport) {
+    /// Restores a tenant's level and estimate from the state that a gateway reports of a
+    /// predecessor.
+    pub(crate) fn restore(&mut self, report: &TenantReport) {
         let Some(standing) = report.standing else { return };
         let tenant = self.tenants.entry(report.tenant.clone()).or_default();
         tenant.estimate.get_or_insert(standing.estimate.0 as f64);
         let Some(level) = standing.level else { return };
         if !self.open {
-            tenant.remembered_level = tenant.remembered_level.max(Some(level));
-            tenant.remembered_charges += standing.charged_since;
+            tenant.restored_level = tenant.restored_level.max(Some(level));
+            tenant.restored_charges += standing.charged_since;
             return;
         }
         self.order.raise_to(&report.tenant, level);
         self.order.charge(&report.tenant, standing.charged_since);
     }
 
-    /// Begins to order: tenants that a predecessor knew go on from their levels, others start as
-    /// any tenant that becomes backlogged.
+    /// Starts the fair order: tenants with a restored level continue from it, others start like any
+    /// tenant that becomes backlogged.
     pub(crate) fn open(&mut self) {
         self.open = true;
         let mut others = Vec::new();
@@ -146,9 +147,9 @@
             if tenant.waiting.is_empty() {
                 continue;
             }
-            match tenant.remembered_level {
+            match tenant.restored_level {
                 Some(level) => {
-                    let since = Level::of(tenant.remembered_charges, self.order.weight(name));
+                    let since = Level::of(tenant.restored_charges, self.order.weight(name));
                     self.order.restore_backlogged(name, level.plus(since));
                 }
                 None => others.push(name.clone()),
@@ -159,21 +160,26 @@
         }
     }
 
-    /// Whether [`Tenants::open`] was called since the last [`Tenants::forget`].
+    /// Returns whether [`Tenants::open`] was called since the last [`Tenants::reset`].
     pub(crate) fn is_open(&self) -> bool {
         self.open
     }
 
-    /// Forgets all but the weights.
-    pub(crate) fn forget(&mut self) {
+    /// Discards all state except the weights.
+    pub(crate) fn reset(&mut self) {
         self.open = false;
         self.order.forget_levels();
         self.tenants.clear();
         self.active_weight = 0;
     }
 
-    /// Learns from requests that ended between two reports. Gives their number.
-    pub(crate) fn learn(&mut self, report: &TenantReport, previous: &TenantReport) -> u64 {
+    /// Updates the cost estimate from requests that ended between two reports. Returns their
+    /// number.
+    pub(crate) fn update_estimate(
+        &mut self,
+        report: &TenantReport,
+        previous: &TenantReport,
+    ) -> u64 {
         let finished = report.finished.saturating_sub(previous.finished);
         if finished == 0 {
             return 0;
@@ -181,29 +187,28 @@
         let total = report.finished_cost.minus(previous.finished_cost).0 as f64;
         let mean = total / finished as f64;
         let tenant = self.tenants.entry(report.tenant.clone()).or_default();
-        let gain = 1.0 - (1.0 - ESTIMATE_GAIN).powf(finished as f64);
+        let weight_of_observations = 1.0 - (1.0 - ESTIMATE_SMOOTHING).powf(finished as f64);
         let known = tenant.estimate.unwrap_or(mean);
-        tenant.estimate = Some(known + gain * (mean - known));
+        tenant.estimate = Some(known + weight_of_observations * (mean - known));
         finished
     }
 
-    /// What a request of the tenant probably costs.
+    /// Returns the estimated cost of a request of the tenant, or `first` if none has ended yet.
     pub(crate) fn estimate(&self, name: &TenantName, first: Cost) -> Cost {
-        let learned = self.tenants.get(name).and_then(|tenant| tenant.estimate);
-        learned.map_or(first, |mean| Cost(mean.round().max(1.0) as i64))
+        let estimated = self.tenants.get(name).and_then(|tenant| tenant.estimate);
+        estimated.map_or(first, |mean| Cost(mean.round().max(1.0) as i64))
     }
 
-    /// The backlogged tenant due next and the gateway to grant to. Those that already hold
-    /// `share_limit` times their fair share of `slots` are passed over; if all do, the limit keeps
-    /// no slot idle.
+    /// Returns the backlogged tenant to serve next and the gateway to grant to. Skips tenants that
+    /// hold `share_limit` times their fair share of `slots`, unless all of them do.
     pub(crate) fn next(&self, share_limit: f64, slots: u32) -> Option<(TenantName, ProcessId)> {
-        let holds_limit = |name: &&TenantName| !self.holds_limit(name, share_limit, slots);
-        let name = self.order.backlogged().find(holds_limit).or_else(|| self.order.next())?;
+        let is_eligible = |name: &&TenantName| !self.is_at_limit(name, share_limit, slots);
+        let name = self.order.backlogged().find(is_eligible).or_else(|| self.order.next())?;
         let gateway = self.tenants.get(name)?.next_gateway()?;
         Some((name.clone(), gateway.clone()))
     }
 
-    fn holds_limit(&self, name: &TenantName, share_limit: f64, slots: u32) -> bool {
+    fn is_at_limit(&self, name: &TenantName, share_limit: f64, slots: u32) -> bool {
         let Some(tenant) = self.tenants.get(name) else { return false };
         let weight = f64::from(self.order.weight(name).get());
         let share = weight / self.active_weight.max(1) as f64;
@@ -211,9 +216,9 @@
         f64::from(tenant.in_flight) >= limit.max(1.0)
     }
 
-    /// Backlogged tenants for operators, the one due next first.
+    /// Returns the status of the backlogged tenants in the order in which they are served next.
     pub(crate) fn status(&self, first_estimate: Cost) -> Vec<TenantStatus> {
-        let one = |name: &TenantName| {
+        let tenant_status = |name: &TenantName| {
             let tenant = self.tenants.get(name);
             TenantStatus {
                 tenant: name.clone(),
@@ -223,6 +228,6 @@
                 estimate: self.estimate(name, first_estimate),
             }
         };
-        self.order.backlogged().map(one).collect()
+        self.order.backlogged().map(tenant_status).collect()
     }
 }
