--- a/crates/router/tests/answer_memory.rs
+++ b/crates/router/tests/answer_memory.rs
@@ -1,4 +1,4 @@
-//! What a router holds of whole answers that their callers do not read yet.
+//! Memory of a router for buffered answers that callers have not read yet.
 
 mod support;
 
@@ -13,11 +13,11 @@
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
-/// The body of each answer: more than all sockets on its way hold.
+/// Body of each answer, larger than all socket buffers on its way.
 static BODY: [u8; 2 << 20] = [b'x'; 2 << 20];
 const CALLERS: usize = 40;
-/// What a connection may take beside its answer, in bytes.
-const MOST_EACH: usize = 128 << 10;
+/// Heap bytes allowed for each connection in addition to its answer.
+const MAX_PER_CONNECTION: usize = 128 << 10;
 
 async fn answer_large(mut stream: TcpStream) -> std::io::Result<()> {
     while let Some(head) = read_request(&mut stream).await {
@@ -32,7 +32,8 @@
     Ok(())
 }
 
-/// A back end with large answers, which it writes from memory that is not on the heap.
+/// Starts a back end with large answers, which it writes from static memory to keep them off the
+/// heap.
 async fn large_back_end(runtime: Runtime) -> ScriptedBackEnd {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a free port");
     let back_end = ScriptedBackEnd {
@@ -44,7 +45,7 @@
     };
     let accept = async move {
         while let Ok((stream, _)) = listener.accept().await {
-            // A router that closes its connection needs no more of the answer.
+            // Writing fails when the router closes the connection early.
             runtime.spawn(async move { answer_large(stream).await.unwrap_or_default() }).detach();
         }
     };
@@ -52,20 +53,21 @@
     back_end
 }
 
-/// Reads how an answer begins, and the rest when it is this caller's turn. Gives its status line and the bytes that it has in all.
+/// Reads the status of an answer at once and the rest under the lock `turn`. Returns the status
+/// line and the length of the whole answer in bytes.
 async fn read_in_turn(mut stream: TcpStream, turn: Rc<Mutex<()>>) -> (String, usize) {
-    let mut begin = [0; "HTTP/1.1 200".len()];
-    stream.read_exact(&mut begin).await.expect("answered");
+    let mut start = [0; "HTTP/1.1 200".len()];
+    stream.read_exact(&mut start).await.expect("answered");
     let _turn = turn.lock().await;
-    let mut piece = vec![0; 16 << 10];
-    let mut read = begin.len();
-    while let Ok(length @ 1..) = stream.read(&mut piece).await {
+    let mut buffer = vec![0; 16 << 10];
+    let mut read = start.len();
+    while let Ok(length @ 1..) = stream.read(&mut buffer).await {
         read += length;
     }
-    (String::from_utf8_lossy(&begin).into_owned(), read)
+    (String::from_utf8_lossy(&start).into_owned(), read)
 }
 
-// Whole answers of up to 16 MB were held without a bound: ten of them took all the memory of the smallest machines.
+// Buffered answers without a bound on their memory exhaust small machines.
 #[test]
 fn whole_answers_wait_for_memory_and_all_are_delivered() {
     run(async |runtime| {
@@ -79,13 +81,13 @@
             callers.push(runtime.spawn(read_in_turn(caller, turn.clone())));
         }
         for caller in callers {
-            let (begin, read) = caller.await;
-            assert_eq!(begin, "HTTP/1.1 200");
+            let (start, read) = caller.await;
+            assert_eq!(start, "HTTP/1.1 200");
             assert!(read > BODY.len(), "{read}");
         }
         let held = dhat::HeapStats::get().max_bytes;
         drop(profiler);
-        let most = bed.settings.body_bytes() as usize + CALLERS * MOST_EACH;
-        assert!(held < most, "{held} bytes held, {most} allowed");
+        let max = bed.settings.body_bytes() as usize + CALLERS * MAX_PER_CONNECTION;
+        assert!(held < max, "{held} bytes held, {max} allowed");
     });
 }
--- a/crates/router/tests/events.rs
+++ b/crates/router/tests/events.rs
@@ -1,4 +1,4 @@
-//! The page for operators lists every event that the router logs.
+//! The operators' page lists every event that the router logs.
 
 #[test]
 fn the_operators_page_lists_every_event() {
--- a/crates/router/tests/fatal_requests.rs
+++ b/crates/router/tests/fatal_requests.rs
@@ -1,15 +1,5 @@
-//! A request ended each engine that began to run it, and came again by the same path, caller and body at any of seven routers.
-//! No router remembered it from one arrival to the next or told the others, so each arrival was placed like a new one: after
-//! three engines had ended under it, it was sent to engines eight times more, and 23 of them ended within 12 seconds. Each time
-//! the 20 to 40 requests beside it at that engine broke too. Within one arrival it was taken up again at a further engine
-//! 8 ms after the first had ended under it:
-//!
-//!     49.873 s  the engine ends; 49.876 s  event=try_failed fault=Broken reason=lost running=24 (and five more routers)
-//!     50.399 s  event=stream_resumed reason=broke_off last_event=0 found=true
-//!     50.507 s  event=request_ended outcome=broken_off reason=broke_off events=0 took_ms=841 prompt_tokens=5960 sends=4
-//!
-//! Seven such ends at five routers, all with events=0 and the same prompt, and no request that ended for want of retries, settled
-//! that it was the first send of each arrival that counted most, and that bounding retries alone would have mended nothing.
+//! A request that ends each engine that runs it, sent again and again to any router of a fleet.
+//! Routers must bound its runs together, quarantine it and go on serving the other requests.
 
 mod support;
 
@@ -21,14 +11,14 @@
 use std::time::Duration;
 use support::{Answer, Bed, Request, STREAM_HEAD, ScriptedBackEnd, Step, run, until};
 
-/// Sends that are allowed over the whole fleet: three until it is known what the request does, and three more.
-const MOST_RUNS: u32 = 6;
-/// Time between two arrivals.
-const PAUSE: Duration = Duration::from_millis(60);
+/// Runs allowed in the whole fleet: three until the request is quarantined, and three more.
+const MAX_RUNS: u32 = 6;
+/// Time between two arrivals of the request.
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(60);
 const BEHAVIOUR: Behaviour =
     Behaviour { id_header: "mastbay-request-id", down_for: Duration::from_millis(400) };
 
-/// The back ends as a source lists them.
+/// Entries of the back ends in a list of the source.
 fn listed(back_ends: &EndingBackEnds) -> Vec<BackEnd> {
     let addresses = back_ends.addresses.iter().enumerate();
     let listed = addresses.map(|(number, address)| BackEnd {
@@ -54,37 +44,37 @@
     }
     for bed in &beds {
         for other in beds.iter().filter(|other| other.settings.digests != bed.settings.digests) {
-            bed.introduce(other.settings.digests, other.settings.operations);
+            bed.announce_peer(other.settings.digests, other.settings.operations);
         }
     }
     beds
 }
 
-/// The same request at its next coming: only its id is another.
+/// The fatal request with a new id, otherwise the same each time.
 fn fatal_request(prefix: &str) -> Request {
     Request::new(&format!("/{prefix}/{FATAL}")).body("the same each time")
 }
 
-/// Sends the request to the routers in turn.
+/// Sends the fatal request to the routers in round-robin order.
 async fn call_in_turn(beds: &[Bed], prefix: &str, arrivals: usize) -> Vec<Answer> {
     let mut answers = Vec::new();
     for number in 0..arrivals {
         answers.push(beds[number % beds.len()].call(&fatal_request(prefix)).await);
-        smol::Timer::after(PAUSE).await;
+        smol::Timer::after(ARRIVAL_INTERVAL).await;
     }
     answers
 }
 
 #[test]
-fn a_request_that_ends_back_ends_runs_six_times_at_most() {
+fn a_fatal_request_runs_at_most_six_times() {
     for prefix in ["resumable", "stream", "safe", "unsafe"] {
         run(async |runtime| {
             let back_ends = EndingBackEnds::start(8, BEHAVIOUR);
             let beds = start_routers(runtime, 1, &back_ends).await;
             let answers = call_in_turn(&beds, prefix, 20).await;
             let runs = back_ends.fatal_runs();
-            assert!(runs <= MOST_RUNS, "{prefix}: {runs} runs");
-            let last = answers.last().expect("one at least");
+            assert!(runs <= MAX_RUNS, "{prefix}: {runs} runs");
+            let last = answers.last().expect("at least one");
             assert_eq!(last.header("mastbay-outcome").as_deref(), Some("not-run"), "{last:?}");
             assert!(last.header("retry-after").is_some(), "{last:?}");
         });
@@ -92,20 +82,19 @@
 }
 
 #[test]
-fn routers_together_run_a_request_that_ends_back_ends_six_times_at_most() {
+fn routers_together_run_a_fatal_request_at_most_six_times() {
     run(async |runtime| {
         let back_ends = EndingBackEnds::start(12, BEHAVIOUR);
         let beds = start_routers(runtime, 4, &back_ends).await;
         let answers = call_in_turn(&beds, "unsafe", 24).await;
         let runs = back_ends.fatal_runs();
-        assert!(runs <= MOST_RUNS, "{runs} runs");
-        let is_told = |answer: &Answer| answer.status == 503;
-        assert!(answers[12..].iter().all(is_told), "{:?}", &answers[12..]);
+        assert!(runs <= MAX_RUNS, "{runs} runs");
+        let is_rejected = |answer: &Answer| answer.status == 503;
+        assert!(answers[12..].iter().all(is_rejected), "{:?}", &answers[12..]);
     });
 }
 
-/// Callers of other requests while one comes again and again that ends back ends: each request is of its own, runs 30 ms and may be
-/// sent twice.
+/// Sends other requests than the fatal one. Each is distinct, runs for 30 ms and may be sent twice.
 async fn call_bystanders(bed: &Bed, callers: usize, calls: usize) -> Vec<Answer> {
     let answers: RefCell<Vec<Answer>> = RefCell::default();
     let all = (0..callers).map(|caller| {
@@ -122,7 +111,7 @@
     answers.into_inner()
 }
 
-/// Runs futures side by side until all have ended.
+/// Runs futures concurrently until all have completed.
 async fn join_all<F: Future<Output = ()>>(all: impl Iterator<Item = F>) {
     let executor = smol::LocalExecutor::new();
     let tasks: Vec<_> = all.map(|one| executor.spawn(one)).collect();
@@ -134,10 +123,10 @@
     executor.run(ended).await;
 }
 
-/// Back ends that end are missing for a while, and whatever was under way there is sent once more. Without a quarantine 561 to
-/// 629 of these 720 bystanders were served (three runs).
+/// Each end of a back end breaks the requests beside the fatal one and removes its slots for a
+/// while, so without a quarantine bystanders fail.
 #[test]
-fn bystanders_of_a_request_that_ends_back_ends_are_served() {
+fn bystanders_of_a_fatal_request_are_served() {
     run(async |runtime| {
         let back_ends = EndingBackEnds::start(8, BEHAVIOUR);
         let beds = start_routers(runtime, 1, &back_ends).await;
@@ -146,14 +135,14 @@
         let served = answers.iter().filter(|answer| answer.status == 200).count();
         println!("{served} of {} bystanders served", answers.len());
         assert!(served * 100 >= answers.len() * 98, "{served} of {}", answers.len());
-        let refused = answers.iter().filter(|answer| answer.status == 503).count();
-        assert_eq!(refused, 0, "taken for the request that ends back ends");
+        let rejected = answers.iter().filter(|answer| answer.status == 503).count();
+        assert_eq!(rejected, 0, "taken for the fatal request");
     });
 }
 
-/// Connections that break in the middle of an answer, while the back end lives, say nothing against a request.
+/// Connections that break while the back end keeps running are not evidence against a request.
 #[test]
-fn a_request_whose_answers_break_off_is_sent_on() {
+fn a_request_whose_answers_break_off_is_not_quarantined() {
     for broken in [vec![Step::Close], vec![Step::Write(STREAM_HEAD.to_owned()), Step::Close]] {
         run(async |runtime| {
             let first = ScriptedBackEnd::start(runtime, "b1", vec![broken.clone()]).await;
@@ -166,18 +155,18 @@
     }
 }
 
-/// A router that starts while the request goes on coming learns of it from the others before it has sent it once more itself.
+/// A new router must learn of a quarantine from its peers before it sends the request itself.
 #[test]
-fn a_router_that_starts_later_knows_what_is_quarantined() {
+fn a_router_that_starts_later_learns_of_the_quarantine() {
     run(async |runtime| {
         let back_ends = EndingBackEnds::start(8, BEHAVIOUR);
         let earlier = start_routers(runtime, 2, &back_ends).await;
         call_in_turn(&earlier, "unsafe", 12).await;
         let runs = back_ends.fatal_runs();
         let later = start_routers(runtime, 1, &back_ends).await;
-        later[0].introduce(earlier[0].settings.digests, earlier[0].settings.operations);
-        earlier[0].introduce(later[0].settings.digests, later[0].settings.operations);
-        // Its peer's first message comes with the first round.
+        later[0].announce_peer(earlier[0].settings.digests, earlier[0].settings.operations);
+        earlier[0].announce_peer(later[0].settings.digests, later[0].settings.operations);
+        // The quarantine arrives with the first round of messages of the peer.
         until(async || later[0].router.has_quarantined_any()).await;
         let answers = call_in_turn(&later, "unsafe", 3).await;
         assert!(answers.iter().all(|answer| answer.status == 503), "{answers:?}");
@@ -185,20 +174,17 @@
     });
 }
 
-/// A request that many callers sent was under way at each of three back ends when another one ended them within half a second. It was
-/// quarantined with that one and refused 8,867 times in a minute, since nobody could see that it would be served:
-///
-///     event=request_quarantined fingerprint=df3e7371 back_ends=6fff81ec,74c117b2,a86fe678
-///     event=request_quarantined fingerprint=d9465ce3 back_ends=6fff81ec,74c117b2,a86fe678
+/// An innocent request that was under way whenever another one ended its back end is quarantined
+/// too. A probe that a back end survives must release it.
 #[test]
-fn a_quarantined_request_that_back_ends_bear_is_served_again() {
+fn a_quarantined_request_that_back_ends_sustain_is_served_again() {
     run(async |runtime| {
         let back_ends = EndingBackEnds::start(6, BEHAVIOUR);
         let beds = start_routers(runtime, 3, &back_ends).await;
         until(async || beds.iter().all(|bed| bed.router.fleet_size() == 3)).await;
         let innocent = || Request::new(&format!("/unsafe/{FATAL}-{THRICE}"));
         until(async || {
-            smol::Timer::after(PAUSE).await;
+            smol::Timer::after(ARRIVAL_INTERVAL).await;
             beds[0].call(&innocent()).await.status == 503
         })
         .await;
@@ -209,7 +195,7 @@
     });
 }
 
-/// One more run of a request that back ends don't bear is what it costs to let an innocent one go.
+/// The probe that would release an innocent request costs one more run of a fatal one.
 #[test]
 fn a_quarantined_request_is_probed_once() {
     run(async |runtime| {
@@ -218,6 +204,6 @@
         call_in_turn(&beds, "unsafe", 150).await;
         let runs = back_ends.fatal_runs();
         println!("{runs} runs");
-        assert!(runs <= MOST_RUNS, "{runs} runs");
+        assert!(runs <= MAX_RUNS, "{runs} runs");
     });
 }
--- a/crates/router/tests/messages.rs
+++ b/crates/router/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Sizes of the messages between routers, as they are encoded.
+//! Encoded sizes of the messages between routers.
 
 use mastbay_routing::{
     BackEndId, Digest, EngineKey, EngineLoad, EngineServiceLevel, HEAVIEST_TENANTS, IncludedDigest,
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// Largest datagram that routers take, in bytes.
-const LARGEST_DATAGRAM: usize = 60 << 10;
+/// Largest datagram that routers accept, in bytes.
+const MAX_DATAGRAM: usize = 60 << 10;
 
 fn key(engine: usize) -> EngineKey {
     EngineKey::from(&BackEndId::from(format!("engine-{engine}").as_str()))
@@ -50,7 +50,8 @@
     }
 }
 
-/// What an aggregator tells its 63 members of busy engines; with all figures in one round of eight.
+/// Encoded length of the sum that an aggregator sends to its 63 members when all engines are busy.
+/// A full sum, with all load statistics, goes out in one round of eight.
 fn encoded_sum(engines: usize, tenants: usize, is_full: bool) -> usize {
     let address = SocketAddr::from(([10, 3, 0, 17], 7_500));
     let stats = LoadStats {
@@ -90,15 +91,15 @@
     assert!(full <= 12_000, "{full} bytes");
 }
 
-/// docs/CAPACITY.md names this as what a larger deployment meets first.
+/// docs/CAPACITY.md names this as the first limit that a larger deployment reaches.
 #[test]
 fn sums_over_a_thousand_engines_fit_a_datagram() {
     let full = encoded_sum(1_000, 400, true);
-    assert!(full <= LARGEST_DATAGRAM, "{full} bytes");
+    assert!(full <= MAX_DATAGRAM, "{full} bytes");
 }
 
-/// What a router tells one that it did not know, with the addresses of others.
-fn greeting(peers: Vec<SocketAddr>) -> PeerMessage {
+/// Hello to a new peer, with the addresses of other routers.
+fn hello(peers: Vec<SocketAddr>) -> PeerMessage {
     let router = router_state(SocketAddr::from(([10, 3, 0, 17], 7_500)));
     PeerMessage::Digest(Digest { router, stats: None, is_member: false, peers })
 }
@@ -107,22 +108,22 @@
     rmp_serde::to_vec(message).expect("encoded").len()
 }
 
-// When 985 routers started, each sent 0.55 MB until all knew each other: 1,331 greetings of 471 bytes, of which thirty addresses were 392.
+// Addresses of peers are the largest part of a hello, and a starting fleet exchanges many of them.
 #[test]
 fn an_address_of_a_fleet_takes_five_bytes() {
     let host = |index: u8| SocketAddr::from(([10, 3, index, 200 + index], 7_500));
     let peers: Vec<SocketAddr> = (0..30).map(host).collect();
-    let addresses = length(&greeting(peers)) - length(&greeting(Vec::new()));
+    let addresses = length(&hello(peers)) - length(&hello(Vec::new()));
     assert!(addresses <= 30 * 5 + 8, "{addresses} bytes");
 }
 
 quickcheck! {
-    fn all_addresses_come_through(hosts: Vec<(u32, u16)>, others: Vec<(u128, u16)>) -> bool {
+    fn all_addresses_are_decoded(hosts: Vec<(u32, u16)>, others: Vec<(u128, u16)>) -> bool {
         let hosts = hosts.iter().map(|(host, port)| SocketAddr::from((Ipv4Addr::from(*host), *port)));
         let others =
             others.iter().map(|(host, port)| SocketAddr::from((Ipv6Addr::from(*host), *port)));
         let peers: Vec<SocketAddr> = others.chain(hosts).collect();
-        let bytes = rmp_serde::to_vec(&greeting(peers.clone())).expect("encoded");
+        let bytes = rmp_serde::to_vec(&hello(peers.clone())).expect("encoded");
         let PeerMessage::Digest(read) = rmp_serde::from_slice(&bytes).expect("decoded") else {
             return false;
         };
--- a/crates/router/tests/notices.rs
+++ b/crates/router/tests/notices.rs
@@ -1,4 +1,4 @@
-//! What the heads of back ends' answers say of these back ends.
+//! Notices that back ends send about themselves in the heads of their answers.
 
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use hyper::{Response, http};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_time_to_come_back_is_a_number_of_seconds() {
+fn retry_after_is_a_number_of_seconds() {
     let malformed = RetryAfter::Malformed;
     let cases = [
         (vec![], RetryAfter::Absent),
@@ -46,7 +46,7 @@
 }
 
 quickcheck! {
-    fn whatever_stands_in_the_header_is_bounded(text: String) -> bool {
+    fn any_header_value_gives_a_bounded_time(text: String) -> bool {
         let Ok(value) = HeaderValue::from_str(&text) else { return true };
         let mut headers = HeaderMap::new();
         headers.insert(RETRY_AFTER, value);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn only_the_back_ends_answer_to_this_request_speaks_for_it() {
+fn only_the_answer_of_the_back_end_to_this_request_carries_notices() {
     let own = ("mastbay-request-id", "r1");
     let draining = ("mastbay-draining", "1");
     let pause = ("retry-after", "3");
--- a/crates/router/tests/offload.rs
+++ b/crates/router/tests/offload.rs
@@ -1,4 +1,4 @@
-//! Connections that one router hands to another.
+//! Forwarding of connections from one router to another.
 
 mod support;
 
@@ -19,46 +19,47 @@
 };
 
 const INTERVAL: Duration = Duration::from_millis(40);
-/// Time in which answers must begin, unless a test is about it.
-const LIMIT: Duration = Duration::from_secs(10);
-/// The version of the configuration that all routers here have in force.
+/// Time-out for the start of an answer, long enough not to matter unless a test sets another.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Configuration version of all routers in these tests.
 const VERSION: u64 = 1;
-/// What a caller is sent whose request a peer took and did not answer.
+/// Answer that [`copy`] sends to a caller whose request the peer did not answer.
 const UNANSWERED: &str = "HTTP/1.1 502 Bad Gateway\r\ncontent-length: 0\r\n\r\n";
 
-/// What the router that hands a connection on knows.
-struct Handing {
+/// Scripted state of the router that forwards a connection.
+struct ScriptedForwarding {
     is_current: Cell<bool>,
-    limit: Duration,
-    /// It was asked how long a request may take that is being copied.
+    answer_timeout: Duration,
+    /// Set when the time-out of a request is asked for, which happens while it is copied.
     has_request: Cell<bool>,
 }
 
-impl Handing {
-    fn new(limit: Duration) -> Rc<Self> {
-        Rc::new(Self { is_current: Cell::new(true), limit, has_request: Cell::new(false) })
+impl ScriptedForwarding {
+    fn new(answer_timeout: Duration) -> Rc<Self> {
+        Rc::new(Self { is_current: Cell::new(true), answer_timeout, has_request: Cell::new(false) })
     }
 }
 
-impl ForwardedConnection for Handing {
+impl ForwardedConnection for ScriptedForwarding {
     fn is_current(&self) -> bool {
         self.is_current.get()
     }
 
     fn answer_timeout(&self, _start: &[u8]) -> Duration {
         self.has_request.set(true);
-        self.limit
+        self.answer_timeout
     }
 }
 
-/// Copies a connection and tells the caller if no answer came. Gives why none came.
+/// Copies a connection and sends [`UNANSWERED`] if the peer does not answer. Returns why it did
+/// not.
 async fn copy(
     runtime: Runtime,
-    offloaded: PeerConnection,
+    peer_connection: PeerConnection,
     caller: TcpStream,
-    handing: Rc<Handing>,
+    forwarding: Rc<ScriptedForwarding>,
 ) -> Option<PeerFailure> {
-    match offloaded.copy(runtime, caller, INTERVAL, handing).await {
+    match peer_connection.copy(runtime, caller, INTERVAL, forwarding).await {
         CopyOutcome::Ended => None,
         CopyOutcome::Unanswered { mut caller, failure, .. } => {
             caller.write_all(UNANSWERED.as_bytes()).await.expect("the caller waits");
@@ -73,17 +74,21 @@
     (listener, address)
 }
 
-/// A caller whose connection is handed to the router of a bed.
-async fn handed_over(runtime: Runtime, bed: &Bed) -> TcpStream {
-    handed_over_by(runtime, bed, Handing::new(LIMIT)).await
+/// Returns a caller whose connection is forwarded to the router of `bed`.
+async fn forwarded_caller(runtime: Runtime, bed: &Bed) -> TcpStream {
+    forwarded_caller_with(runtime, bed, ScriptedForwarding::new(ANSWER_TIMEOUT)).await
 }
 
-async fn handed_over_by(runtime: Runtime, bed: &Bed, handing: Rc<Handing>) -> TcpStream {
+async fn forwarded_caller_with(
+    runtime: Runtime,
+    bed: &Bed,
+    forwarding: Rc<ScriptedForwarding>,
+) -> TcpStream {
     let (listener, address) = listener().await;
     let caller = TcpStream::connect(address).await.expect("connected");
     let (accepted, _) = listener.accept().await.expect("accepted");
-    let offloaded = connect(runtime, bed.settings.digests, VERSION).await.expect("taken");
-    runtime.spawn(copy(runtime, offloaded, accepted, handing)).detach();
+    let peer_connection = connect(runtime, bed.settings.digests, VERSION).await.expect("taken");
+    runtime.spawn(copy(runtime, peer_connection, accepted, forwarding)).detach();
     caller
 }
 
@@ -95,29 +100,29 @@
 }
 
 #[test]
-fn a_connection_that_is_handed_over_is_served_whole_and_may_rest_for_a_second() {
+fn a_forwarded_connection_is_served_and_kept_alive_for_one_second() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("hello")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
-        let mut caller = handed_over(runtime, &bed).await;
-        let request = Request::new("/unsafe/x").body("question").kept();
+        let mut caller = forwarded_caller(runtime, &bed).await;
+        let request = Request::new("/unsafe/x").body("question").keep_alive();
         let answer = call(&mut caller, &request).await;
-        assert_eq!((answer.status, answer.body.as_str(), answer.whole), (200, "hello", true));
+        assert_eq!((answer.status, answer.body.as_str(), answer.is_complete), (200, "hello", true));
         assert_eq!(header(&answer.head, "keep-alive").as_deref(), Some("timeout=1"));
         assert_eq!(back_end.arrivals(), 1);
     });
 }
 
 #[test]
-fn a_stream_comes_whole_and_in_order_through_two_routers() {
+fn a_stream_arrives_complete_and_in_order_through_two_routers() {
     run(async |runtime| {
         let steps = [STREAM_HEAD.to_owned() + &events(1, 3), events(4, 40) + STREAM_END];
         let steps = steps.map(Step::Write).to_vec();
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![steps]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
-        let mut caller = handed_over(runtime, &bed).await;
+        let mut caller = forwarded_caller(runtime, &bed).await;
         let answer = call(&mut caller, &Request::new("/stream/x")).await;
-        assert!(answer.whole);
+        assert!(answer.is_complete);
         let numbers = answer.body.lines().filter_map(|line| line.strip_prefix("id: "));
         let numbers: Vec<u64> = numbers.map(|number| number.parse().expect("a number")).collect();
         assert_eq!(numbers, (1..=40).collect::<Vec<u64>>());
@@ -125,12 +130,12 @@
 }
 
 #[test]
-fn a_caller_that_goes_away_frees_the_back_end_behind_two_routers() {
+fn a_caller_that_disconnects_frees_the_back_end_behind_two_routers() {
     run(async |runtime| {
         let steps = vec![Step::Write(STREAM_HEAD.to_owned() + &events(1, 1)), Step::UntilClosed];
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![steps]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
-        let mut caller = handed_over(runtime, &bed).await;
+        let mut caller = forwarded_caller(runtime, &bed).await;
         let request = Request::new("/stream/x");
         caller.write_all(request.text().as_bytes()).await.expect("sent");
         until(async || back_end.arrivals() == 1).await;
@@ -140,7 +145,7 @@
 }
 
 #[test]
-fn a_peer_that_takes_nothing_is_told_apart() {
+fn causes_of_a_failed_connect_are_distinguished() {
     run(async |runtime| {
         let (closing, address) = listener().await;
         let closes = runtime.spawn(async move { drop(closing.accept().await.expect("accepted")) });
@@ -158,7 +163,7 @@
 }
 
 #[test]
-fn a_router_that_knows_no_configuration_takes_no_connection_of_a_peer() {
+fn a_router_without_a_configuration_accepts_no_forwarded_connection() {
     run(async |runtime| {
         let bed = Bed::start_unconfigured(runtime).await;
         assert!(matches!(
@@ -169,26 +174,27 @@
 }
 
 #[test]
-fn the_greeting_comes_before_anything_is_sent() {
+fn a_peer_sends_its_hello_first() {
     run(async |runtime| {
         let bed = Bed::start(runtime, &[]).await;
         let mut peer = TcpStream::connect(bed.settings.digests).await.expect("connected");
-        let mut greeted = [0; HELLO_LENGTH];
-        peer.read_exact(&mut greeted).await.expect("greeted");
-        assert_eq!(greeted, hello(VERSION));
+        let mut received = [0; HELLO_LENGTH];
+        peer.read_exact(&mut received).await.expect("hello");
+        assert_eq!(received, hello(VERSION));
     });
 }
 
-/// A router that stops cannot end the connections that it handed over, so the peer does.
+/// A router that stops cannot end the connections that it forwarded, so the peer limits their
+/// duration.
 #[test]
-fn a_connection_that_is_handed_over_ends_with_an_answer_after_three_seconds() {
+fn a_forwarded_connection_ends_with_an_answer_after_three_seconds() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
-        let mut caller = handed_over(runtime, &bed).await;
+        let mut caller = forwarded_caller(runtime, &bed).await;
         let mut answers = String::new();
         loop {
-            let request = Request::new("/unsafe/x").kept();
+            let request = Request::new("/unsafe/x").keep_alive();
             if caller.write_all(request.text().as_bytes()).await.is_err() {
                 break;
             }
@@ -205,32 +211,35 @@
 }
 
 #[test]
-fn a_router_with_another_configuration_takes_no_connection() {
+fn a_router_with_another_configuration_accepts_no_forwarded_connection() {
     run(async |runtime| {
         let bed = Bed::start(runtime, &[]).await;
         for version in [VERSION - 1, VERSION + 1] {
-            let asked = connect(runtime, bed.settings.digests, version).await;
-            assert!(matches!(asked, Err(OffloadError::OtherConfiguration { peer: VERSION })));
+            let connected = connect(runtime, bed.settings.digests, version).await;
+            assert!(matches!(connected, Err(OffloadError::OtherConfiguration { peer: VERSION })));
         }
     });
 }
 
-/// The peer may not have that configuration yet, or may have it when this router does not.
+/// The peer may not have applied the new configuration yet, or may have applied it earlier.
 #[test]
-fn no_request_is_passed_on_once_another_configuration_is_in_force() {
+fn no_request_is_forwarded_after_the_configuration_changes() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("first")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
-        let handing = Handing::new(LIMIT);
-        let mut caller = handed_over_by(runtime, &bed, handing.clone()).await;
-        let request = Request::new("/unsafe/x").kept();
+        let forwarding = ScriptedForwarding::new(ANSWER_TIMEOUT);
+        let mut caller = forwarded_caller_with(runtime, &bed, forwarding.clone()).await;
+        let request = Request::new("/unsafe/x").keep_alive();
         caller.write_all(request.text().as_bytes()).await.expect("sent");
         let mut bytes = vec![0; 1_024];
         let length = caller.read(&mut bytes).await.expect("answered");
-        assert!(Answer::new(bytes[..length].to_vec(), true).whole);
-        handing.is_current.set(false);
-        caller.write_all(Request::new("/unsafe/y").kept().text().as_bytes()).await.expect("sent");
-        // The request is left unread, so its caller knows that it did not run.
+        assert!(Answer::new(bytes[..length].to_vec(), true).is_complete);
+        forwarding.is_current.set(false);
+        caller
+            .write_all(Request::new("/unsafe/y").keep_alive().text().as_bytes())
+            .await
+            .expect("sent");
+        // The request stays unread, so its caller gets a reset and knows that it did not run.
         let ended = caller.read_to_end(&mut bytes).await;
         assert_eq!(ended.expect_err("reset").kind(), std::io::ErrorKind::ConnectionReset);
         assert_eq!(back_end.arrivals(), 1);
@@ -238,94 +247,95 @@
 }
 
 #[test]
-fn a_request_under_way_is_answered_whatever_comes_in_force() {
+fn a_request_under_way_is_answered_after_the_configuration_changes() {
     run(async |runtime| {
         let steps = [STREAM_HEAD.to_owned() + &events(1, 3), events(4, 9) + STREAM_END];
         let steps = steps.map(Step::Write).to_vec();
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![steps]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
-        let handing = Handing::new(LIMIT);
-        let mut caller = handed_over_by(runtime, &bed, handing.clone()).await;
+        let forwarding = ScriptedForwarding::new(ANSWER_TIMEOUT);
+        let mut caller = forwarded_caller_with(runtime, &bed, forwarding.clone()).await;
         let request = Request::new("/stream/x").body("a long question");
         let text = request.text();
         let (first, rest) = text.split_at(text.len() - 5);
         caller.write_all(first.as_bytes()).await.expect("sent");
-        until(async || handing.has_request.get()).await;
-        handing.is_current.set(false);
+        until(async || forwarding.has_request.get()).await;
+        forwarding.is_current.set(false);
         caller.write_all(rest.as_bytes()).await.expect("sent");
         let mut bytes = Vec::new();
         caller.read_to_end(&mut bytes).await.expect("whole");
-        assert!(Answer::new(bytes, true).whole);
+        assert!(Answer::new(bytes, true).is_complete);
     });
 }
 
 #[test]
-fn what_comes_in_force_after_the_greeting_does_not_change_the_answer() {
+fn a_configuration_applied_after_the_hello_does_not_change_the_answer() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
-        let mut caller = handed_over(runtime, &bed).await;
+        let mut caller = forwarded_caller(runtime, &bed).await;
         let mut newer = support::configuration(VERSION + 1);
         newer.routes.retain(|route| route.path_prefix != "/safe/");
         bed.router.offer_configuration(newer, Origin::Source);
-        assert_eq!(call(&mut caller, &Request::new("/safe/x").kept()).await.status, 200);
+        assert_eq!(call(&mut caller, &Request::new("/safe/x").keep_alive()).await.status, 200);
         assert_eq!(bed.call(&Request::new("/safe/x")).await.status, 404);
     });
 }
 
 #[test]
-fn a_peer_that_says_nothing_is_given_up_in_time() {
+fn a_silent_peer_times_out() {
     run(async |runtime| {
         let (peer, peer_address) = listener().await;
         let silent = runtime.spawn(async move {
             let (mut stream, _) = peer.accept().await.expect("accepted");
-            stream.write_all(&hello(VERSION)).await.expect("greeted");
+            stream.write_all(&hello(VERSION)).await.expect("hello");
             // The router closes it.
             let _ = stream.read_to_end(&mut Vec::new()).await;
         });
         let (callers, address) = listener().await;
         let mut caller = TcpStream::connect(address).await.expect("connected");
         let (accepted, _) = callers.accept().await.expect("accepted");
-        let offloaded = connect(runtime, peer_address, VERSION).await.expect("taken");
-        let request = Request::new("/unsafe/x").kept().text();
+        let peer_connection = connect(runtime, peer_address, VERSION).await.expect("taken");
+        let request = Request::new("/unsafe/x").keep_alive().text();
         caller.write_all(request.as_bytes()).await.expect("sent");
-        let handing = Handing::new(Duration::from_millis(100));
-        let loss = copy(runtime, offloaded, accepted, handing).await;
-        assert_eq!(loss, Some(PeerFailure::TimedOut));
+        let forwarding = ScriptedForwarding::new(Duration::from_millis(100));
+        let failure = copy(runtime, peer_connection, accepted, forwarding).await;
+        assert_eq!(failure, Some(PeerFailure::TimedOut));
         silent.await;
-        let mut told = String::new();
-        caller.read_to_string(&mut told).await.expect("closed");
-        assert_eq!(told, UNANSWERED);
+        let mut received = String::new();
+        caller.read_to_string(&mut received).await.expect("closed");
+        assert_eq!(received, UNANSWERED);
     });
 }
 
-/// A router that is late reads requests whose callers have long closed their connections.
+/// A late router reads requests whose callers have already closed their connections.
 #[test]
-fn a_request_whose_caller_has_gone_before_it_is_read_goes_nowhere() {
+fn a_request_whose_caller_disconnects_before_it_is_read_is_not_forwarded() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
         let (listener, address) = listener().await;
         for _ in 0..10 {
-            let offloaded = connect(runtime, bed.settings.digests, VERSION).await.expect("taken");
+            let peer_connection =
+                connect(runtime, bed.settings.digests, VERSION).await.expect("taken");
             let mut caller = std::net::TcpStream::connect(address).expect("connected");
             let request = Request::new("/safe/x").body("question");
             std::io::Write::write_all(&mut caller, request.text().as_bytes()).expect("sent");
             drop(caller);
             let (accepted, _) = listener.accept().await.expect("accepted");
-            copy(runtime, offloaded, accepted, Handing::new(LIMIT)).await;
+            copy(runtime, peer_connection, accepted, ScriptedForwarding::new(ANSWER_TIMEOUT)).await;
         }
         assert_eq!(bed.call(&Request::new("/safe/last")).await.status, 200);
         assert_eq!(back_end.arrivals(), 1);
     });
 }
 
-/// Gives all that a caller gets whose connection is handed to a peer that takes a request, says `answer` and is killed.
-async fn told_when_the_peer_dies(runtime: Runtime, answer: &'static str) -> String {
+/// Returns all that a caller receives when the peer reads the request, writes `answer` and closes.
+async fn answer_when_the_peer_dies(runtime: Runtime, answer: &'static str) -> String {
     let (peer, peer_address) = listener().await;
     let dying = runtime.spawn(async move {
         let (mut stream, _) = peer.accept().await.expect("accepted");
-        stream.write_all(&hello(VERSION)).await.expect("greeted");
+        stream.write_all(&hello(VERSION)).await.expect("hello");
         let mut request = [0; 1_024];
         let length = stream.read(&mut request).await.expect("read");
         assert!(length > 0);
@@ -334,37 +344,29 @@
     let (callers, address) = listener().await;
     let mut caller = TcpStream::connect(address).await.expect("connected");
     let (accepted, _) = callers.accept().await.expect("accepted");
-    let offloaded = connect(runtime, peer_address, VERSION).await.expect("taken");
-    let request = Request::new("/unsafe/x").kept().text();
+    let peer_connection = connect(runtime, peer_address, VERSION).await.expect("taken");
+    let request = Request::new("/unsafe/x").keep_alive().text();
     caller.write_all(request.as_bytes()).await.expect("sent");
-    copy(runtime, offloaded, accepted, Handing::new(LIMIT)).await;
+    copy(runtime, peer_connection, accepted, ScriptedForwarding::new(ANSWER_TIMEOUT)).await;
     dying.await;
-    let mut told = String::new();
-    caller.read_to_string(&mut told).await.expect("closed");
-    told
+    let mut received = String::new();
+    caller.read_to_string(&mut received).await.expect("closed");
+    received
 }
 
-// Symptom: four requests on connections of one router, which was well, ended at the same moment in closed connections, after engines had
-// begun to work on them.
-//
-// Sequence: a router that is late hands connections to a peer; the peer sends their requests to engines and is killed; the engines
-// see their connections close, and so do the callers.
-//
-// Cause: a connection is copied unread, and its end was copied as well, whether a request awaited its answer or not.
-//
-// What settled it: the requests reached engines from the peer, 0.02 s after they were sent to the first router, and the peer was killed
-// 0.1 s later.
+// A peer that dies after it read a request must not end the connection of the caller without an
+// answer.
 #[test]
-fn a_caller_is_told_when_the_peer_that_took_its_request_dies() {
-    run(async |runtime| assert_eq!(told_when_the_peer_dies(runtime, "").await, UNANSWERED));
+fn a_caller_is_answered_when_the_peer_that_took_its_request_dies() {
+    run(async |runtime| assert_eq!(answer_when_the_peer_dies(runtime, "").await, UNANSWERED));
 }
 
 #[test]
-fn nothing_is_added_to_an_answer_that_has_begun() {
+fn nothing_is_appended_to_a_started_answer() {
     run(async |runtime| {
         let whole = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole";
-        assert_eq!(told_when_the_peer_dies(runtime, whole).await, whole);
+        assert_eq!(answer_when_the_peer_dies(runtime, whole).await, whole);
         let part = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwh";
-        assert_eq!(told_when_the_peer_dies(runtime, part).await, part);
+        assert_eq!(answer_when_the_peer_dies(runtime, part).await, part);
     });
 }
--- a/crates/router/tests/runtime.rs
+++ b/crates/router/tests/runtime.rs
@@ -1,4 +1,4 @@
-//! Limits and common turns of a router's one thread.
+//! Timers and aligned ticks of the runtime.
 
 use mastbay_router::Runtime;
 use std::cell::RefCell;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_limit_that_is_added_later_and_ends_earlier_ends_first() {
+fn a_later_added_timer_with_an_earlier_deadline_fires_first() {
     let runtime = Runtime::leaked();
     let ended = Rc::new(RefCell::new(Vec::new()));
     let sleeper = |millis: u64| {
@@ -19,7 +19,8 @@
     let (long, short) = (sleeper(400), sleeper(40));
     smol::block_on(runtime.run(async {
         let long = runtime.spawn(long);
-        // The long one is in the list, and the next turn is planned for its end, before the short one is added.
+        // The long timer is registered, and the next wake-up set to its deadline, before the short
+        // one is added.
         smol::future::yield_now().await;
         runtime.spawn(short).await;
         long.await;
@@ -28,15 +29,16 @@
 }
 
 #[test]
-fn work_that_repeats_ends_its_sleeps_on_common_turns() {
+fn periodic_tasks_wake_on_aligned_ticks() {
     let runtime = Runtime::leaked();
     for span in [1_u64, 20, 29, 80, 100, 500].map(Duration::from_millis) {
         let wait = runtime.until_aligned_tick(span);
         assert!(wait <= span + Duration::from_millis(20), "{wait:?} for {span:?}");
     }
     let (one, other) = (Duration::from_millis(80), Duration::from_millis(180));
-    let apart = runtime.until_aligned_tick(other).saturating_sub(runtime.until_aligned_tick(one));
-    // The clock goes on between the two questions.
-    let turns = apart.as_secs_f64() / 0.02;
-    assert!(turns < 5.01, "{apart:?}");
+    let distance =
+        runtime.until_aligned_tick(other).saturating_sub(runtime.until_aligned_tick(one));
+    // The clock advances between the two calls.
+    let ticks = distance.as_secs_f64() / 0.02;
+    assert!(ticks < 5.01, "{distance:?}");
 }
--- a/crates/router/tests/support/lists.rs
+++ b/crates/router/tests/support/lists.rs
@@ -1,4 +1,4 @@
-//! A list of as many back ends as a thousand routers have, and routers that ask for it.
+//! A list with as many back ends as a fleet of a thousand routers has, and requests for it.
 
 use super::Bed;
 use mastbay_router::SNAPSHOT_PATH;
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 const BACK_ENDS: u32 = 10_000;
-/// How an answer begins, to the end of its status.
-const STATUS_LINE: usize = "HTTP/1.1 200".len();
+/// Length of the start of an answer, up to the end of its status code.
+const STATUS_LENGTH: usize = "HTTP/1.1 200".len();
 
 pub fn large_list(revision: u64) -> BackEndList {
     let back_end = |index: u32| BackEnd {
@@ -26,18 +26,18 @@
     BackEndList { revision: revision.into(), back_ends: (0..BACK_ENDS).map(back_end).collect() }
 }
 
-/// Asks a router for all that it knows, and reads how the answer begins. Gives its status.
-pub async fn begin_to_read_list(bed: &Bed) -> (u16, TcpStream) {
-    begin_to_read(bed, SNAPSHOT_PATH).await
+/// Requests the full snapshot from a router and reads only the status of the answer.
+pub async fn request_list(bed: &Bed) -> (u16, TcpStream) {
+    request_operations(bed, SNAPSHOT_PATH).await
 }
 
-/// The same at any path of the operations address.
-pub async fn begin_to_read(bed: &Bed, path: &str) -> (u16, TcpStream) {
+/// Like [`request_list`], for any path of the operations listener.
+pub async fn request_operations(bed: &Bed, path: &str) -> (u16, TcpStream) {
     let mut stream = TcpStream::connect(bed.settings.operations).await.expect("connected");
     let request = format!("GET {path} HTTP/1.1\r\nhost: router\r\n\r\n");
     stream.write_all(request.as_bytes()).await.expect("sent");
-    let mut begin = [0; STATUS_LINE];
-    stream.read_exact(&mut begin).await.expect("answered");
-    let status = std::str::from_utf8(&begin[STATUS_LINE - 3..]).expect("digits");
+    let mut start = [0; STATUS_LENGTH];
+    stream.read_exact(&mut start).await.expect("answered");
+    let status = std::str::from_utf8(&start[STATUS_LENGTH - 3..]).expect("digits");
     (status.parse().expect("a number"), stream)
 }
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A router on loopback with scripted back ends and plain callers, all on the test's own thread.
+//! Fixture for router tests: a router on loopback, scripted back ends and plain callers, all on the
+//! thread of the test.
 #![allow(dead_code, missing_docs)]
 
 pub mod lists;
@@ -22,13 +23,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time that a test waits for what must happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit of a test.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a back end does with a request.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// Writes bytes; `ID` in them becomes the request's id.
+    /// Writes the text with each `ID` replaced by the id of the request.
     Write(String),
     /// Closes the connection.
     Close,
@@ -36,13 +37,16 @@
     UntilClosed,
 }
 
-/// A back end that reacts to the requests that reach it, in turn; the last reaction is repeated.
+/// Back end that plays one scripted reaction per request and repeats the last one.
 #[derive(Clone)]
 pub struct ScriptedBackEnd {
     pub name: String,
     pub address: SocketAddr,
+    /// Heads of the requests received.
     pub heads: Rc<RefCell<Vec<String>>>,
+    /// Connections accepted.
     pub connections: Rc<Cell<u32>>,
+    /// Connections that the router closed during a [`Step::UntilClosed`].
     pub closed_by_router: Rc<Cell<u32>>,
 }
 
@@ -92,11 +96,12 @@
         }
     }
 
-    /// Requests that reached it.
+    /// Number of requests received.
     pub fn arrivals(&self) -> usize {
         self.heads.borrow().len()
     }
 
+    /// Entry of this back end in a list, as a member of `service`.
     pub fn listed(&self, service: &str) -> BackEnd {
         BackEnd {
             id: BackEndId::from(self.name.as_str()),
@@ -111,14 +116,14 @@
     }
 }
 
-/// A whole answer with a body of known length.
+/// Writes a complete answer with a `content-length`.
 pub fn answer(body: &str) -> Vec<Step> {
     let length = body.len();
     let head = format!("HTTP/1.1 200 OK\r\nmastbay-request-id: ID\r\ncontent-length: {length}");
     vec![Step::Write(format!("{head}\r\n\r\n{body}"))]
 }
 
-/// The back end's word that it did not run the request.
+/// Rejects the request and reports that it was not run.
 pub fn not_run() -> Vec<Step> {
     let head = "HTTP/1.1 503 Full\r\nmastbay-request-id: ID\r\nmastbay-outcome: not-run";
     vec![Step::Write(format!("{head}\r\ncontent-length: 0\r\n\r\n"))]
@@ -127,12 +132,12 @@
 pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nmastbay-request-id: ID\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// A chunk that holds `text`.
+/// Encodes `text` as one chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A stream's events from `first` to `last`.
+/// Encodes the events numbered `first..=last`, one in each chunk.
 pub fn events(first: u64, last: u64) -> String {
     (first..=last).map(|number| chunk(&format!("id: {number}\ndata: x\n\n"))).collect()
 }
@@ -186,23 +191,23 @@
     }
 }
 
-/// A router that serves on loopback.
+/// Router under test, listening on loopback.
 pub struct Bed {
     pub router: Rc<Router>,
     pub runtime: Runtime,
     pub settings: RouterSettings,
 }
 
-/// Runs a test on one thread, bounded by [`PATIENCE`].
+/// Runs a test on the current thread and panics if it takes longer than [`TEST_TIMEOUT`].
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Runtime) -> F) {
     let runtime = Runtime::leaked();
-    let bounded = mastbay_web::within(PATIENCE, test(runtime));
+    let bounded = mastbay_web::within(TEST_TIMEOUT, test(runtime));
     smol::block_on(runtime.run(bounded)).expect("the test ends in time");
 }
 
-/// The zone of a router unless a test names another.
+/// Zone of a router unless the test sets another.
 pub const ZONE: &str = "a";
-/// Zones and their regions.
+/// Zones with the region of each.
 const ZONE_REGIONS: [(&str, &str); 3] = [(ZONE, "north"), ("b", "north"), ("c", "south")];
 
 pub fn settings(ports: &mut PortBlock) -> RouterSettings {
@@ -238,12 +243,12 @@
 }
 
 impl Bed {
-    /// Starts a router that knows the configuration and `back_ends` of the service `plain`.
+    /// Starts a router with [`configuration`] version 1 and `back_ends` in the service `plain`.
     pub async fn start(runtime: Runtime, back_ends: &[&ScriptedBackEnd]) -> Self {
         Self::start_in(ZONE, runtime, back_ends).await
     }
 
-    /// The same in a zone.
+    /// Like [`Self::start`], in `zone`.
     pub async fn start_in(zone: &str, runtime: Runtime, back_ends: &[&ScriptedBackEnd]) -> Self {
         let bed = Self::start_unconfigured_in(zone, runtime).await;
         bed.router.offer_configuration(configuration(1), Origin::Source);
@@ -251,11 +256,11 @@
             EvacuatedZones { revision: 1.into(), ..EvacuatedZones::default() },
             Origin::Source,
         );
-        bed.list(1, back_ends);
+        bed.set_back_ends(1, back_ends);
         bed
     }
 
-    /// Starts a router that knows nothing.
+    /// Starts a router without a configuration or a list of back ends.
     pub async fn start_unconfigured(runtime: Runtime) -> Self {
         Self::start_unconfigured_in(ZONE, runtime).await
     }
@@ -263,13 +268,13 @@
     async fn start_unconfigured_in(zone: &str, runtime: Runtime) -> Self {
         let mut ports = PortBlock::take();
         let settings = RouterSettings { zone: zone.to_owned(), ..settings(&mut ports) };
-        // The router's listeners stay open as long as this process runs, and so must its block.
+        // The listeners stay open until the process exits, so the ports must stay reserved.
         std::mem::forget(ports);
-        let seams =
+        let dialects =
             Dialects { callers: Box::new(NativeDialect), back_ends: Box::new(NativeDialect) };
         let mut registry = Registry::default();
         let metrics = RouterMetrics::register(&mut registry);
-        let router = Router::new(settings.clone(), seams, runtime, metrics);
+        let router = Router::new(settings.clone(), dialects, runtime, metrics);
         let bed = Self { router, runtime, settings };
         let running = mastbay_router::run(bed.router.clone(), Rc::new(registry), || {});
         runtime.spawn(async move { running.await.expect("runs") }).detach();
@@ -277,19 +282,20 @@
         bed
     }
 
-    pub fn list(&self, revision: u64, back_ends: &[&ScriptedBackEnd]) {
+    /// Replaces the back ends of the service `plain`, as the source would.
+    pub fn set_back_ends(&self, revision: u64, back_ends: &[&ScriptedBackEnd]) {
         let back_ends = back_ends.iter().map(|back_end| back_end.listed("plain")).collect();
         self.router
             .offer_back_ends(BackEndList { revision: revision.into(), back_ends }, Origin::Source);
     }
 
-    /// Tells the router of another one of its zone with version 1 in force.
-    pub fn introduce(&self, digests: SocketAddr, snapshots: SocketAddr) {
-        self.introduce_in(&self.settings.zone, digests, snapshots);
+    /// Sends the router a digest of a peer in its zone that serves configuration version 1.
+    pub fn announce_peer(&self, digests: SocketAddr, snapshots: SocketAddr) {
+        self.announce_peer_in(&self.settings.zone, digests, snapshots);
     }
 
-    /// The same of one in a zone.
-    pub fn introduce_in(&self, zone: &str, digests: SocketAddr, snapshots: SocketAddr) {
+    /// Like [`Self::announce_peer`], for a peer in `zone`.
+    pub fn announce_peer_in(&self, zone: &str, digests: SocketAddr, snapshots: SocketAddr) {
         let router = RouterState {
             id: PeerId { address: digests, incarnation: 1 },
             sequence: 1,
@@ -314,7 +320,7 @@
         until(|| async { TcpStream::connect(self.settings.callers).await.is_ok() }).await;
     }
 
-    /// Sends a request on a connection of its own and reads until the router closes it.
+    /// Sends a request on a new connection and reads the answer until the router closes it.
     pub async fn call(&self, request: &Request) -> Answer {
         let mut stream = self.open(request).await;
         let mut bytes = Vec::new();
@@ -322,7 +328,7 @@
         Answer::new(bytes, ended)
     }
 
-    /// Sends a request on a connection of its own.
+    /// Sends a request on a new connection and returns the connection.
     pub async fn open(&self, request: &Request) -> TcpStream {
         let mut stream = TcpStream::connect(self.settings.callers).await.expect("connected");
         stream.write_all(request.text().as_bytes()).await.expect("sent");
@@ -344,8 +350,8 @@
     pub path: String,
     pub headers: Vec<(&'static str, String)>,
     pub body: String,
-    /// Whether the caller would keep its connection.
-    pub keeps_connection: bool,
+    /// Sends `connection: keep-alive` instead of `close`.
+    pub keep_alive: bool,
 }
 
 impl Request {
@@ -356,7 +362,7 @@
             path: path.to_owned(),
             headers: vec![id],
             body: String::new(),
-            keeps_connection: false,
+            keep_alive: false,
         }
     }
 
@@ -370,12 +376,12 @@
         self
     }
 
-    pub fn kept(self) -> Self {
-        Self { keeps_connection: true, ..self }
+    pub fn keep_alive(self) -> Self {
+        Self { keep_alive: true, ..self }
     }
 
     pub fn text(&self) -> String {
-        let connection = if self.keeps_connection { "keep-alive" } else { "close" };
+        let connection = if self.keep_alive { "keep-alive" } else { "close" };
         let headers: String =
             self.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
         let (method, path, length) = (self.method, &self.path, self.body.len());
@@ -387,26 +393,27 @@
     }
 }
 
-/// What a caller got.
+/// Answer that a caller received.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// Whether the body ended properly.
-    pub whole: bool,
+    /// Whether the body ended with its last chunk or has the announced length.
+    pub is_complete: bool,
 }
 
 impl Answer {
+    /// Parses the bytes read from a connection; `ended` is false if reading failed.
     pub fn new(bytes: Vec<u8>, ended: bool) -> Self {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         let status = head.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0);
         let chunked = header(head, "transfer-encoding").is_some();
         let length = header(head, "content-length").and_then(|value| value.parse().ok());
-        let whole =
+        let is_complete =
             ended && if chunked { body.ends_with("0\r\n\r\n") } else { length == Some(body.len()) };
-        Self { status, head: head.to_owned(), body: body.to_owned(), whole }
+        Self { status, head: head.to_owned(), body: body.to_owned(), is_complete }
     }
 
     pub fn header(&self, name: &str) -> Option<String> {
--- a/crates/router/tests/suspension.rs
+++ b/crates/router/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! A router whose machine is suspended for a while: its clock goes ahead, and nothing else has moved.
+//! Suspension of the machine: the clock jumps ahead while nothing else moves.
 
 mod support;
 
@@ -9,22 +9,22 @@
 use std::time::{Duration, Instant};
 use support::{Bed, Request, ScriptedBackEnd, Step, answer, configuration, header, run, until};
 
-/// Time that the callers give.
+/// Deadline that callers send.
 const DEADLINE: Duration = Duration::from_secs(9);
 
 fn request(path: &str) -> Request {
     Request::new(path).with("mastbay-deadline-ms", &DEADLINE.as_millis().to_string())
 }
 
-/// The time that a back end was told for its last request.
-fn time_told(back_end: &ScriptedBackEnd) -> Duration {
+/// Remaining time that the router sent to a back end with its last request.
+fn last_deadline(back_end: &ScriptedBackEnd) -> Duration {
     let head = back_end.heads.borrow().last().cloned().expect("a request");
-    let told = header(&head, "mastbay-deadline-ms").expect("a time");
-    Duration::from_millis(told.parse().expect("a number"))
+    let deadline = header(&head, "mastbay-deadline-ms").expect("a time");
+    Duration::from_millis(deadline.parse().expect("a number"))
 }
 
 #[test]
-fn a_request_whose_time_passed_meanwhile_ends_at_once() {
+fn a_request_whose_deadline_passes_during_suspension_ends_at_once() {
     run(async |runtime| {
         let silent = ScriptedBackEnd::start(runtime, "b1", vec![vec![Step::UntilClosed]]).await;
         let bed = Bed::start(runtime, &[&silent]).await;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_back_end_is_told_no_more_time_than_the_caller_has_left() {
+fn a_back_end_gets_no_later_deadline_than_the_caller_has() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("late")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
@@ -53,29 +53,38 @@
         runtime.advance_clock(Duration::from_secs(4));
         caller.write_all(body.as_bytes()).await.expect("sent");
         until(async || back_end.arrivals() == 2).await;
-        assert!(time_told(&back_end) <= Duration::from_secs(5), "{:?}", time_told(&back_end));
+        assert!(
+            last_deadline(&back_end) <= Duration::from_secs(5),
+            "{:?}",
+            last_deadline(&back_end)
+        );
     });
 }
 
-/// What lay unread in the meantime is as old as the suspension was long.
+/// The router must count the suspension as waiting time of a request that was not read yet.
 #[test]
-fn a_request_that_lay_unread_meanwhile_has_no_more_time_than_its_caller() {
+fn a_request_unread_during_suspension_gets_no_later_deadline_than_its_caller_has() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("late")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
         bed.call(&request("/unsafe/x")).await;
-        // Nothing runs between the two: the bytes are there when the router goes on.
+        // The router does not run between the write and the jump of the clock, so it finds the
+        // bytes afterwards.
         let mut caller = std::net::TcpStream::connect(bed.settings.callers).expect("connected");
         let text = request("/unsafe/y").text();
         std::io::Write::write_all(&mut caller, text.as_bytes()).expect("sent");
         runtime.advance_clock(Duration::from_secs(4));
         until(async || back_end.arrivals() == 2).await;
-        assert!(time_told(&back_end) <= Duration::from_secs(5), "{:?}", time_told(&back_end));
+        assert!(
+            last_deadline(&back_end) <= Duration::from_secs(5),
+            "{:?}",
+            last_deadline(&back_end)
+        );
     });
 }
 
 #[test]
-fn connections_that_rested_too_long_meanwhile_are_not_used_again() {
+fn connections_idle_too_long_during_suspension_are_not_reused() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("x")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
@@ -83,21 +92,23 @@
         bed.call(&request("/unsafe/x")).await;
         assert_eq!(back_end.connections.get(), 1);
         runtime.advance_clock(Duration::from_secs(60));
-        // What comes right after it is taken for as old as the suspension.
+        // A request right after the suspension counts as waiting since its start and may be
+        // rejected.
         until(async || bed.call(&request("/unsafe/x")).await.status == 200).await;
         assert_eq!(back_end.connections.get(), 2);
     });
 }
 
-/// A key is taken away and the router is suspended before it hears of it. The first call after it is served by what its peer tells.
+/// The key is revoked while the router is suspended. After resuming, the router must obtain the new
+/// configuration from its peer before it serves the first call.
 #[test]
-fn a_key_that_was_taken_away_meanwhile_is_refused() {
+fn a_key_revoked_during_suspension_is_rejected() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("x")]).await;
         let (suspended, peer) =
             (Bed::start(runtime, &[&back_end]).await, Bed::start(runtime, &[&back_end]).await);
-        suspended.introduce(peer.settings.digests, peer.settings.operations);
-        peer.introduce(suspended.settings.digests, suspended.settings.operations);
+        suspended.announce_peer(peer.settings.digests, peer.settings.operations);
+        peer.announce_peer(suspended.settings.digests, suspended.settings.operations);
         let keyed = || request("/keyed/x").with("authorization", "Bearer key-a");
         until(async || suspended.call(&keyed()).await.status == 200).await;
         until(async || suspended.router.fleet_size() == 2).await;
--- a/crates/router/tests/whole_path.rs
+++ b/crates/router/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request's way through a router, with back ends that behave and that do not.
+//! Requests through a whole router, with well-behaved and faulty back ends.
 
 mod support;
 
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn an_answer_comes_back_whole() {
+fn an_answer_is_relayed_unchanged() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("hello")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
         let answer = bed.call(&Request::new("/safe/x?y=1").body("question")).await;
-        assert_eq!((answer.status, answer.body.as_str(), answer.whole), (200, "hello", true));
+        assert_eq!((answer.status, answer.body.as_str(), answer.is_complete), (200, "hello", true));
         let head = back_end.heads.borrow()[0].clone();
         assert!(head.starts_with("POST /safe/x?y=1 HTTP/1.1"), "{head}");
         assert_eq!(header(&head, "mastbay-back-end").as_deref(), Some("b1"));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_key_becomes_the_tenant_and_a_forged_tenant_goes_nowhere() {
+fn the_key_sets_the_tenant_header_and_a_forged_one_is_dropped() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_no_route_serves_and_what_is_too_large_is_turned_away() {
+fn requests_without_a_route_and_oversized_requests_are_rejected() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_request_that_a_back_end_did_not_run_goes_to_another() {
+fn a_request_that_a_back_end_did_not_run_is_sent_to_another() {
     run(async |runtime| {
         let full = ScriptedBackEnd::start(runtime, "b1", vec![not_run()]).await;
         let other = ScriptedBackEnd::start(runtime, "b2", vec![answer("run")]).await;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_request_that_nobody_ran_is_told_so_with_a_time_to_come_back() {
+fn a_request_that_was_not_run_gets_that_outcome_and_retry_after() {
     run(async |runtime| {
         let full = ScriptedBackEnd::start(runtime, "b1", vec![not_run()]).await;
         let bed = Bed::start(runtime, &[&full]).await;
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_safe_request_whose_answer_is_lost_goes_to_another() {
+fn a_safe_request_whose_answer_is_lost_is_sent_to_another() {
     run(async |runtime| {
         let broken = ScriptedBackEnd::start(runtime, "b1", vec![vec![Step::Close]]).await;
         let other = ScriptedBackEnd::start(runtime, "b2", vec![answer("run")]).await;
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn the_answer_to_another_request_reaches_nobody() {
+fn the_answer_to_another_request_is_not_relayed() {
     run(async |runtime| {
         let foreign =
             "HTTP/1.1 200 OK\r\nmastbay-request-id: other\r\ncontent-length: 5\r\n\r\nwrong";
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn bytes_after_an_answer_spoil_the_connection_and_not_the_next_answer() {
+fn bytes_after_an_answer_close_the_connection_and_do_not_reach_the_next_answer() {
     run(async |runtime| {
         let extra = "HTTP/1.1 200 OK\r\nmastbay-request-id: ID\r\ncontent-length: 5\r\n\r\nextra";
         let mut first = answer("first");
@@ -139,19 +139,19 @@
 }
 
 #[test]
-fn what_is_no_answer_reaches_nobody() {
+fn a_malformed_answer_is_not_relayed() {
     run(async |runtime| {
         let garbage = vec![vec![Step::Write("\u{1}\u{2} garbage\r\n\r\n".to_owned()), Step::Close]];
         let broken = ScriptedBackEnd::start(runtime, "b1", garbage).await;
         let bed = Bed::start(runtime, &[&broken]).await;
         let answer = bed.call(&Request::new("/unsafe/x")).await;
-        assert_eq!((answer.status, answer.whole), (502, true));
+        assert_eq!((answer.status, answer.is_complete), (502, true));
         assert!(!answer.body.contains("garbage"));
     });
 }
 
 #[test]
-fn an_answer_that_breaks_off_is_not_passed_on_as_whole() {
+fn a_truncated_answer_is_not_relayed_as_complete() {
     run(async |runtime| {
         let part = "HTTP/1.1 200 OK\r\nmastbay-request-id: ID\r\ncontent-length: 50\r\n\r\nhalf";
         let steps = vec![vec![Step::Write(part.to_owned()), Step::Close]];
@@ -163,26 +163,26 @@
 }
 
 #[test]
-fn a_stream_comes_back_whole() {
+fn a_stream_is_relayed_completely() {
     run(async |runtime| {
         let parts = [&events(1, 3), STREAM_END];
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![stream(&parts, &[])]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
         let answer = bed.call(&Request::new("/stream/x")).await;
-        assert!(answer.whole, "{answer:?}");
+        assert!(answer.is_complete, "{answer:?}");
         assert_eq!(answer.body.matches("data: x").count(), 3);
     });
 }
 
 #[test]
-fn a_stream_that_breaks_off_is_visibly_broken_and_holds_whole_events_only() {
+fn a_truncated_stream_ends_visibly_incomplete_and_has_complete_events_only() {
     run(async |runtime| {
         let parts = [&events(1, 2), &chunk("id: 3\nda")[..]];
         let steps = vec![stream(&parts, &[Step::Close])];
         let back_end = ScriptedBackEnd::start(runtime, "b1", steps).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
         let answer = bed.call(&Request::new("/stream/x")).await;
-        assert!(!answer.whole);
+        assert!(!answer.is_complete);
         assert_eq!(answer.body.matches("data: x").count(), 2);
         assert!(!answer.body.contains("id: 3"));
         assert_eq!(back_end.arrivals(), 1);
@@ -190,11 +190,11 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_back_end() {
+fn a_resumable_stream_resumes_at_another_back_end() {
     run(async |runtime| {
         let broken = stream(&[&events(1, 2), &chunk("id: 3\nda")], &[Step::Close]);
         let rest = stream(&[&events(2, 5), STREAM_END], &[]);
-        // Whichever is asked first breaks off; the other takes the stream up, with an event too many.
+        // The first back end breaks off; the second resumes the stream and repeats one event.
         let log = vec![broken, rest];
         let first = ScriptedBackEnd::start(runtime, "b1", log.clone()).await;
         let bed = Bed::start(runtime, &[&first]).await;
@@ -202,7 +202,7 @@
         let request = Request::new("/resumable/x");
         let caller = bed.open(&request).await;
         until(async || first.arrivals() == 1).await;
-        bed.list(2, &[&first, &second]);
+        bed.set_back_ends(2, &[&first, &second]);
         let mut caller = caller;
         let mut text = String::new();
         caller.read_to_string(&mut text).await.expect("read");
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_caller_that_goes_away_frees_the_back_end() {
+fn a_caller_that_disconnects_frees_the_back_end() {
     run(async |runtime| {
         for (path, steps) in [
             ("/stream/x", stream(&[&events(1, 1)], &[Step::UntilClosed])),
@@ -232,16 +232,16 @@
     });
 }
 
-/// A router that is late reads requests whose callers have long closed their connections.
+/// A late router reads requests whose callers have already closed their connections.
 #[test]
-fn a_request_whose_caller_has_gone_before_it_is_read_goes_to_no_back_end() {
+fn a_request_whose_caller_disconnects_before_it_is_read_is_not_sent() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
-        // A connection to the back end is kept, so that nothing else delays a request.
+        // Opens a connection to the back end for reuse, so that no request waits for one.
         assert_eq!(bed.call(&Request::new("/safe/x")).await.status, 200);
         for _ in 0..20 {
-            // Written and closed while the router, on this thread, reads nothing.
+            // Blocking calls: the router runs on this thread and reads nothing in the meantime.
             let mut caller = std::net::TcpStream::connect(bed.settings.callers).expect("connected");
             let request = Request::new("/safe/x").body("question");
             caller.write_all(request.text().as_bytes()).expect("sent");
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_route_that_runs_out_of_time_is_answered_and_its_back_end_freed() {
+fn a_request_that_times_out_is_answered_and_its_back_end_freed() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![vec![Step::UntilClosed]]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_deadline_that_passes_before_the_request_is_sent_is_told_as_not_run() {
+fn a_deadline_that_passes_before_the_request_is_sent_gives_not_run() {
     run(async |runtime| {
         let bed = Bed::start(runtime, &[]).await;
         let answer = bed.call(&Request::new("/unsafe/x").with("mastbay-deadline-ms", "30")).await;
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_back_end_that_drains_or_is_gone_gets_nothing_new() {
+fn a_draining_or_removed_back_end_gets_no_new_requests() {
     run(async |runtime| {
         let leaving = ScriptedBackEnd::start(runtime, "b1", vec![answer("1")]).await;
         let staying = ScriptedBackEnd::start(runtime, "b2", vec![answer("2")]).await;
@@ -288,13 +288,13 @@
         for _ in 0..10 {
             assert_eq!(bed.call(&Request::new("/safe/x")).await.body, "2");
         }
-        bed.list(3, &[&leaving]);
+        bed.set_back_ends(3, &[&leaving]);
         assert_eq!(bed.call(&Request::new("/safe/x")).await.body, "1");
     });
 }
 
 #[test]
-fn a_configuration_never_goes_back() {
+fn an_older_configuration_is_ignored() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn the_configuration_bounds_the_heads_of_requests() {
+fn the_configuration_limits_the_heads_of_requests() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
@@ -329,8 +329,8 @@
         let first = Bed::start(runtime, &[&back_end]).await;
         let second = Bed::start(runtime, &[]).await;
         first.router.offer_configuration(configuration(9), Origin::Source);
-        first.list(7, &[&back_end]);
-        // Bed routers have no seeds: the first hears of the second by a digest of its own making.
+        first.set_back_ends(7, &[&back_end]);
+        // These routers have no seeds, so the test sends the first one a digest of the second.
         let state = mastbay_routing::RouterState {
             id: mastbay_routing::PeerId { address: second.settings.digests, incarnation: 1 },
             sequence: 1,
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn malformed_heads_do_no_harm() {
+fn malformed_heads_are_rejected() {
     run(async |runtime| {
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![answer("fine")]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
@@ -373,16 +373,16 @@
             let _ = stream.read_to_end(&mut answer).await;
             assert!(!answer.starts_with(b"HTTP/1.1 2"));
         }
-        let mut nameless = Request::new("/safe/x");
-        nameless.headers.clear();
-        assert_eq!(bed.call(&nameless).await.status, 400);
+        let mut without_id = Request::new("/safe/x");
+        without_id.headers.clear();
+        assert_eq!(bed.call(&without_id).await.status, 400);
         assert_eq!(bed.call(&Request::new("/safe/x")).await.body, "fine");
         assert_eq!(back_end.arrivals(), 1);
     });
 }
 
 #[test]
-fn a_large_answer_that_tells_no_length_is_delivered_whole() {
+fn a_large_answer_without_a_content_length_is_delivered_completely() {
     run(async |runtime| {
         let body = "x".repeat(2 << 20);
         let steps = [STREAM_HEAD.to_owned() + &chunk(&body) + STREAM_END];
@@ -390,14 +390,14 @@
         let back_end = ScriptedBackEnd::start(runtime, "b1", vec![steps]).await;
         let bed = Bed::start(runtime, &[&back_end]).await;
         let answer = bed.call(&Request::new("/safe/x")).await;
-        assert_eq!((answer.status, answer.body.len(), answer.whole), (200, body.len(), true));
+        assert_eq!((answer.status, answer.body.len(), answer.is_complete), (200, body.len(), true));
     });
 }
 
-/// A back end that goes on with a stream tells in its answer for how long it keeps the connection. What it told there was not read, so the
-/// connection was taken for usable four times as long as it told, and the next request on it broke.
+/// The keep-alive time-out in an answer that resumes a stream must apply to its connection.
+/// Otherwise the router reuses a connection that the back end has closed.
 #[test]
-fn a_connection_that_a_resumed_stream_leaves_is_kept_for_the_time_told() {
+fn the_connection_of_a_resumed_stream_is_reused_only_within_its_keep_alive_timeout() {
     run(async |runtime| {
         let broken = vec![stream(&[&events(1, 2)], &[Step::Close])];
         let first = ScriptedBackEnd::start(runtime, "b1", broken).await;
@@ -407,16 +407,16 @@
         let bed = Bed::start(runtime, &[&first]).await;
         let (answered, ()) = smol::future::zip(bed.call(&Request::new("/resumable/x")), async {
             until(async || first.arrivals() == 1).await;
-            bed.list(2, &[&second]);
+            bed.set_back_ends(2, &[&second]);
         })
         .await;
-        assert!(answered.whole, "{answered:?}");
+        assert!(answered.is_complete, "{answered:?}");
         assert_eq!((second.arrivals(), second.connections.get()), (1, 1));
-        smol::Timer::after(TOLD_KEEP).await;
+        smol::Timer::after(KEEP_ALIVE_EXPIRY).await;
         assert_eq!(bed.call(&Request::new("/safe/x")).await.status, 200);
         assert_eq!(second.connections.get(), 2);
     });
 }
 
-/// Time after which a connection for which a second was told is used no more.
-const TOLD_KEEP: Duration = Duration::from_millis(1_000);
+/// Idle time after which a connection with a keep-alive time-out of one second is not reused.
+const KEEP_ALIVE_EXPIRY: Duration = Duration::from_millis(1_000);
