--- a/crates/stand-in/src/application.rs
+++ b/crates/stand-in/src/application.rs
@@ -1,4 +1,5 @@
-//! A plain service that records each run of each request, so that doubled and lost ones show.
+//! A simulated plain service that records each run of each request, to reveal duplicate and lost
+//! runs.
 
 use crate::reply::{status, value};
 use hyper::body::Incoming;
@@ -13,29 +14,30 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Largest request body.
-const BODY_LIMIT: usize = 16 << 20;
-/// Header of the request's identifier, returned with the answer.
+/// Largest request body, in bytes.
+const MAX_BODY: usize = 16 << 20;
+/// Header with the id of the request, echoed in the answer.
 const REQUEST_ID: HeaderName = HeaderName::from_static("mastbay-request-id");
-/// Header with the caller's own identifier of an operation.
+/// Header with the idempotency key that the caller chose for an operation.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Header by which a test sets the time that this request takes, in milliseconds.
+/// Header that sets the time that this request takes, in milliseconds.
 const WORK: HeaderName = HeaderName::from_static("stand-in-work-ms");
-/// Header by which a test asks for a fault: `break-answer`, `hang` or `crossed`.
+/// Header that injects a fault: `break-answer`, `hang` or `crossed` (an answer with a foreign id).
 const FAULT: HeaderName = HeaderName::from_static("stand-in-fault");
 
-/// Runs so far.
+/// Number of runs since the start of the process.
 #[derive(Default)]
 struct Record {
-    /// Runs by request identifier.
+    /// Runs by request id.
     requests: BTreeMap<String, u32>,
     /// Runs by idempotency key.
     keys: BTreeMap<String, u32>,
-    /// Keeps each run beyond the life of this process: a line with identifier and key.
+    /// Record that outlives the process: one line with request id and key, `-` for none, for each
+    /// run.
     file: Option<File>,
 }
 
-/// Serves for ever.
+/// Serves requests until the process ends.
 pub async fn serve(server: Server, work: Duration, file: Option<File>) {
     let record = Arc::new(Mutex::new(Record { file, ..Record::default() }));
     server
@@ -59,13 +61,13 @@
         let record = record.lock().unwrap_or_else(PoisonError::into_inner);
         return value(&json!({ "requests": record.requests, "keys": record.keys }));
     }
-    let Ok(body) = read_limited(body, BODY_LIMIT).await else {
+    let Ok(body) = read_limited(body, MAX_BODY).await else {
         return status(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let id = text(&head.headers, &REQUEST_ID).unwrap_or_default().to_owned();
-    note_run(record, &id, text(&head.headers, &IDEMPOTENCY_KEY));
-    let own_work = text(&head.headers, &WORK).and_then(|text| text.parse().ok());
-    smol::Timer::after(own_work.map_or(work, Duration::from_millis)).await;
+    record_run(record, &id, text(&head.headers, &IDEMPOTENCY_KEY));
+    let requested_work = text(&head.headers, &WORK).and_then(|text| text.parse().ok());
+    smol::Timer::after(requested_work.map_or(work, Duration::from_millis)).await;
     let digest = hex::encode(Sha256::digest(&body));
     let answer = json!({
         "request": id,
@@ -73,10 +75,10 @@
         "tenant": text(&head.headers, &HeaderName::from_static("mastbay-tenant")),
         "body_sha256": digest,
     });
-    finish(&id, &answer.to_string(), text(&head.headers, &FAULT)).await
+    respond(&id, &answer.to_string(), text(&head.headers, &FAULT)).await
 }
 
-fn note_run(record: &Mutex<Record>, id: &str, key: Option<&str>) {
+fn record_run(record: &Mutex<Record>, id: &str, key: Option<&str>) {
     let mut record = record.lock().unwrap_or_else(PoisonError::into_inner);
     *record.requests.entry(id.to_owned()).or_default() += 1;
     if let Some(key) = key {
@@ -87,10 +89,10 @@
     }
 }
 
-async fn finish(id: &str, answer: &str, fault: Option<&str>) -> Response<Body> {
+async fn respond(id: &str, answer: &str, fault: Option<&str>) -> Response<Body> {
     let (sender, chunks) = smol::channel::bounded(2);
     let half = answer.len() / 2;
-    let mut told = id.to_owned();
+    let mut echoed_id = id.to_owned();
     match fault {
         Some("hang") => std::future::pending().await,
         Some("break-answer") => {
@@ -98,7 +100,7 @@
             let _ = sender.send(Err(BodyError)).await;
         }
         Some("crossed") => {
-            told = "0".repeat(32);
+            echoed_id = "0".repeat(32);
             let _ = sender.send(Ok(answer.to_owned().into())).await;
         }
         _ => {
@@ -107,8 +109,8 @@
     }
     let mut response = Response::new(streamed(chunks));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Ok(told) = HeaderValue::from_str(&told) {
-        response.headers_mut().insert(REQUEST_ID, told);
+    if let Ok(echoed_id) = HeaderValue::from_str(&echoed_id) {
+        response.headers_mut().insert(REQUEST_ID, echoed_id);
     }
     response
 }
--- a/crates/stand-in/src/engine.rs
+++ b/crates/stand-in/src/engine.rs
@@ -1,5 +1,6 @@
-//! A model engine behind the chat-completions interface. Its answer repeats the words of the prompt,
-//! one for each token, so that a caller can check that the whole answer to its own prompt came.
+//! A simulated model engine with the chat-completions interface. Its answers cycle through the
+//! words of the prompt, one for each token, so that callers can verify that they got the answer to
+//! their own prompt, and all of it.
 
 use crate::generation::{Generations, SequenceHandle};
 use crate::reply::{status, value};
@@ -13,16 +14,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest request body.
-const BODY_LIMIT: usize = 4 << 20;
-/// Tokens of an answer whose request names no number.
+/// Largest request body, in bytes.
+const MAX_BODY: usize = 4 << 20;
+/// Tokens of an answer if the request has no `max_tokens`.
 const DEFAULT_TOKENS: usize = 16;
-/// Header of the request's identifier, returned with the answer.
+/// Header with the id of the request, echoed in the answer.
 const REQUEST_ID: HeaderName = HeaderName::from_static("mastbay-request-id");
-/// Tells the gateway that streams can be resumed.
+/// Header that announces to the gateway that streams can be resumed.
 const RESUMABLE: HeaderName = HeaderName::from_static("mastbay-resumable");
-/// Header by which a test asks for a fault: `break-after=N` breaks the first connection after N
-/// tokens, `break-for-good=N` cancels the sequence as well.
+/// Header that injects a fault: `break-after=N` breaks the first connection after N tokens,
+/// `break-for-good=N` also cancels the sequence.
 const FAULT: HeaderName = HeaderName::from_static("stand-in-fault");
 
 #[derive(Deserialize)]
@@ -38,14 +39,14 @@
     content: String,
 }
 
-/// A fault that a test asked for.
+/// Injected fault that breaks a stream after some tokens.
 #[derive(Clone, Copy)]
 struct BreakAfter {
     tokens: usize,
     for_good: bool,
 }
 
-/// Serves for ever.
+/// Serves requests until the process ends.
 pub async fn serve(server: Server, slots: usize, step: Duration) {
     let engine = Generations::new(slots, step);
     server
@@ -58,7 +59,7 @@
 
 async fn answer(engine: Arc<Generations>, request: Request<Incoming>) -> Response<Body> {
     let (head, body) = request.into_parts();
-    let Ok(body) = read_limited(body, BODY_LIMIT).await else {
+    let Ok(body) = read_limited(body, MAX_BODY).await else {
         return status(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let path = head.uri.path();
@@ -109,10 +110,14 @@
     if chat.stream {
         return event_stream(&id, sequence, 0, fault(headers));
     }
-    whole_answer(&id, sequence, prompt_tokens).await
+    buffered_answer(&id, sequence, prompt_tokens).await
 }
 
-async fn whole_answer(id: &str, sequence: SequenceHandle, prompt_tokens: usize) -> Response<Body> {
+async fn buffered_answer(
+    id: &str,
+    sequence: SequenceHandle,
+    prompt_tokens: usize,
+) -> Response<Body> {
     let reader = Reader::new(sequence);
     let mut tokens = Vec::new();
     while let Some(token) = reader.0.token(tokens.len()).await {
@@ -137,7 +142,7 @@
     response
 }
 
-/// Counts a reader out when it is dropped.
+/// Registers a reader of a sequence and removes it when dropped.
 struct Reader(SequenceHandle);
 
 impl Reader {
@@ -161,7 +166,7 @@
 ) -> Response<Body> {
     let (sender, chunks) = smol::channel::bounded(4);
     let reader = Reader::new(sequence);
-    smol::spawn(feed(reader, after, fault, sender)).detach();
+    smol::spawn(send_events(reader, after, fault, sender)).detach();
     let mut response = Response::new(streamed(chunks));
     set_header(&mut response, CONTENT_TYPE, "text/event-stream");
     set_header(&mut response, REQUEST_ID, id);
@@ -169,7 +174,7 @@
     response
 }
 
-async fn feed(
+async fn send_events(
     reader: Reader,
     after: usize,
     fault: Option<BreakAfter>,
@@ -190,8 +195,8 @@
             return;
         }
     }
-    let end = if reader.0.is_whole() { Ok(event("[DONE]")) } else { Err(BodyError) };
-    // A reader that is gone needs no end.
+    let end = if reader.0.is_complete() { Ok(event("[DONE]")) } else { Err(BodyError) };
+    // Sending fails if the connection was closed.
     let _ = sender.send(end).await;
 }
 
--- a/crates/stand-in/src/generation.rs
+++ b/crates/stand-in/src/generation.rs
@@ -1,4 +1,5 @@
-//! A model engine's sequences: slots, steps, and streams that outlive a broken connection for a while.
+//! Sequences of a simulated model engine: slots, steps, and streams that outlast a broken
+//! connection.
 
 use smol::channel::{Receiver, Sender};
 use smol::lock::Semaphore;
@@ -6,12 +7,12 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a sequence without a reader goes on.
+/// Time for which a sequence without a reader keeps generating.
 const RESUME_GRACE: Duration = Duration::from_secs(2);
-/// How long a finished sequence is kept for a resume.
-const KEPT: Duration = Duration::from_secs(10);
+/// Time for which a finished sequence can still be resumed.
+const FINISHED_TTL: Duration = Duration::from_secs(10);
 
-/// A sequence under way.
+/// State of a sequence. `updates` gets a message when a token is added.
 #[derive(Debug)]
 struct Sequence {
     tokens: Vec<String>,
@@ -19,25 +20,25 @@
     readers: usize,
     unread_since: Instant,
     cancelled: bool,
-    news: Sender<()>,
-    newly: Receiver<()>,
+    update_sender: Sender<()>,
+    updates: Receiver<()>,
 }
 
-/// A handle to a sequence.
+/// Shared handle to a sequence.
 #[derive(Debug, Clone)]
 pub struct SequenceHandle(Arc<Mutex<Sequence>>);
 
 impl SequenceHandle {
     fn new(wanted: usize) -> Self {
-        let (news, newly) = smol::channel::bounded(1);
+        let (update_sender, updates) = smol::channel::bounded(1);
         Self(Arc::new(Mutex::new(Sequence {
             tokens: Vec::new(),
             wanted,
             readers: 0,
             unread_since: Instant::now(),
             cancelled: false,
-            news,
-            newly,
+            update_sender,
+            updates,
         })))
     }
 
@@ -45,10 +46,10 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The token at `index`, `None` if the sequence ended before it.
+    /// Waits for the token at `index`; `None` if the sequence ends before it.
     pub async fn token(&self, index: usize) -> Option<String> {
         loop {
-            let newly = {
+            let updates = {
                 let sequence = self.lock();
                 if let Some(token) = sequence.tokens.get(index) {
                     return Some(token.clone());
@@ -56,25 +57,25 @@
                 if sequence.cancelled || index >= sequence.wanted {
                     return None;
                 }
-                sequence.newly.clone()
+                sequence.updates.clone()
             };
-            // Several readers may share the news: look again in any case after a while.
-            let _ = mastbay_web::within(Duration::from_millis(20), newly.recv()).await;
+            // An update wakes only one of several readers, so the others poll.
+            let _ = mastbay_web::within(Duration::from_millis(20), updates.recv()).await;
         }
     }
 
-    /// Whether all tokens wanted have come.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether all wanted tokens were generated.
+    pub fn is_complete(&self) -> bool {
         let sequence = self.lock();
         sequence.tokens.len() == sequence.wanted
     }
 
-    /// Counts a reader in.
+    /// Registers a reader.
     pub fn attach(&self) {
         self.lock().readers += 1;
     }
 
-    /// Counts a reader out.
+    /// Removes a reader; without any, the sequence is cancelled after [`RESUME_GRACE`].
     pub fn detach(&self) {
         let mut sequence = self.lock();
         sequence.readers -= 1;
@@ -86,7 +87,7 @@
         self.lock().cancelled = true;
     }
 
-    /// Adds a token. `false` if the sequence is over.
+    /// Adds a token. Returns false if the sequence is complete or cancelled.
     fn add(&self, token: String) -> bool {
         let mut sequence = self.lock();
         let abandoned = sequence.readers == 0 && sequence.unread_since.elapsed() >= RESUME_GRACE;
@@ -95,13 +96,13 @@
             return false;
         }
         sequence.tokens.push(token);
-        // A full channel already holds the news.
-        let _ = sequence.news.try_send(());
+        // A full channel already holds an update.
+        let _ = sequence.update_sender.try_send(());
         sequence.tokens.len() < sequence.wanted
     }
 }
 
-/// The engine's state.
+/// Sequences of an engine and the slots that they run in.
 #[derive(Debug)]
 pub struct Generations {
     slots: Semaphore,
@@ -111,13 +112,13 @@
 }
 
 impl Generations {
-    /// An idle engine.
+    /// Creates an idle engine that generates one token for each slot every `step`.
     pub fn new(slots: usize, step: Duration) -> Arc<Self> {
         let (sequences, runs) = (Mutex::default(), Mutex::default());
         Arc::new(Self { slots: Semaphore::new(slots), step, sequences, runs })
     }
 
-    /// Starts a sequence whose tokens repeat `words`.
+    /// Starts a sequence of `wanted` tokens that cycle through `words`.
     pub fn start(self: &Arc<Self>, id: &str, words: Vec<String>, wanted: usize) -> SequenceHandle {
         let handle = SequenceHandle::new(wanted);
         self.lock_sequences().insert(id.to_owned(), handle.clone());
@@ -139,16 +140,16 @@
             index += 1;
         }
         drop(slot);
-        smol::Timer::after(KEPT).await;
+        smol::Timer::after(FINISHED_TTL).await;
         self.lock_sequences().remove(&id);
     }
 
-    /// A sequence that is still known.
+    /// Returns the sequence of a request unless it has expired.
     pub fn find(&self, id: &str) -> Option<SequenceHandle> {
         self.lock_sequences().get(id).cloned()
     }
 
-    /// Times that each request was started.
+    /// Returns how many times each request was started, by its id.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         lock(&self.runs).clone()
     }
--- a/crates/stand-in/src/main.rs
+++ b/crates/stand-in/src/main.rs
@@ -1,5 +1,5 @@
-//! `mastbay-stand-in`: small stand-ins, for tests and the demo, of what the fleet works with: the
-//! platform, a model engine and a plain service. Faults are switched on from outside.
+//! `mastbay-stand-in`: simulated dependencies of the fleet for tests and the demo: the platform, a
+//! model engine and a plain service, with faults that can be injected over HTTP.
 
 use argh::FromArgs;
 use derive_more::{Display, Error};
@@ -17,7 +17,7 @@
 mod reply;
 mod store;
 
-/// Stand-ins of what the fleet works with, for tests and the demo.
+/// Simulated dependencies of the fleet, for tests and the demo.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -45,7 +45,7 @@
     /// reads allowed each second, watches included
     #[argh(option, default = "2000")]
     reads_per_second: u32,
-    /// milliseconds by which the machine list lags
+    /// milliseconds by which the machine list is delayed
     #[argh(option, default = "0")]
     machine_lag_ms: u64,
 }
@@ -75,18 +75,18 @@
     /// milliseconds that a request takes
     #[argh(option, default = "5")]
     work_ms: u64,
-    /// file to which each run is added
+    /// file to which each run is appended
     #[argh(option)]
     record: Option<PathBuf>,
 }
 
-/// Why a stand-in did not start.
+/// Errors that prevent a stand-in from starting.
 #[derive(Debug, Display, Error)]
 enum StartError {
-    /// Its address could not be opened.
+    /// The address cannot be bound.
     #[display("{_0}")]
     Bind(BindError),
-    /// The record could not be opened.
+    /// The file of the record cannot be opened.
     #[display("the record cannot be opened: {_0}")]
     Record(std::io::Error),
 }
--- a/crates/stand-in/src/platform.rs
+++ b/crates/stand-in/src/platform.rs
@@ -1,8 +1,8 @@
-//! The platform: `GET`/`PUT /objects/KEY`, `GET`/`PUT /machines`, and for tests `PUT /faults` and
-//! `GET /counts`.
+//! The simulated platform: `GET`/`PUT /objects/KEY`, `GET`/`PUT /machines`, and for tests
+//! `PUT /faults` and `GET /counts`.
 
 use crate::reply::{status, value};
-use crate::store::{Faults, Limits, Required, Store};
+use crate::store::{Faults, Limits, Precondition, Store};
 use hyper::body::Incoming;
 use hyper::header::{ETAG, HeaderMap, HeaderValue, IF_MATCH, IF_NONE_MATCH};
 use hyper::{Method, Request, Response, StatusCode, Uri};
@@ -11,26 +11,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Largest value, as on the real platform.
-const VALUE_LIMIT: usize = 1 << 20;
-/// How often a watch looks for a later version.
-const WATCH_STEP: Duration = Duration::from_millis(5);
-/// How long a lost answer is withheld.
-const LOST: Duration = Duration::from_secs(30);
+/// Largest value in bytes, as on the real platform.
+const MAX_VALUE: usize = 1 << 20;
+/// Interval in which a watch polls for a newer version.
+const WATCH_INTERVAL: Duration = Duration::from_millis(5);
+/// Time for which a lost answer is withheld.
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(30);
 
 struct Platform {
     store: Mutex<Store>,
     machines: Mutex<Machines>,
 }
 
-/// The machine list as it is, and as it shows.
+/// History of the machine list, which callers see with a delay of `lag`.
 struct Machines {
     lag: Duration,
     changes: Vec<(Instant, MachineList)>,
 }
 
 impl Machines {
-    fn shown(&self) -> MachineList {
+    fn visible(&self) -> MachineList {
         let old_enough = |entry: &&(Instant, MachineList)| entry.0.elapsed() >= self.lag;
         let latest = self.changes.iter().rev().find(old_enough);
         latest.map(|(_, list)| list.clone()).unwrap_or_default()
@@ -46,7 +46,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Serves for ever.
+/// Serves requests until the process ends.
 pub async fn serve(server: Server, limits: Limits, lag: Duration) {
     let platform = Arc::new(Platform {
         store: Mutex::new(Store::new(limits)),
@@ -63,7 +63,7 @@
 impl Platform {
     async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
         let (head, body) = request.into_parts();
-        let Ok(body) = read_limited(body, VALUE_LIMIT).await else {
+        let Ok(body) = read_limited(body, MAX_VALUE).await else {
             return status(StatusCode::PAYLOAD_TOO_LARGE);
         };
         match (&head.method, head.uri.path()) {
@@ -83,8 +83,8 @@
             },
             (&Method::GET, "/counts") => value(&lock(&self.store).counts),
             (&Method::GET, "/machines") => match self.admit(true).await {
-                Ok(()) => value(&lock(&self.machines).shown()),
-                Err(refusal) => refusal,
+                Ok(()) => value(&lock(&self.machines).visible()),
+                Err(rejection) => rejection,
             },
             (&Method::GET, path) => match path.strip_prefix("/objects/") {
                 Some(key) => self.read(key, &head.uri).await,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Applies rate and faults to a call.
+    /// Applies rate limits and faults to a call; the error is the answer to the caller.
     async fn admit(&self, read: bool) -> Result<(), Response<Body>> {
         let (admitted, faults) = {
             let mut store = lock(&self.store);
@@ -118,12 +118,12 @@
     }
 
     async fn read(&self, key: &str, uri: &Uri) -> Response<Body> {
-        if let Err(refusal) = self.admit(true).await {
-            return refusal;
+        if let Err(rejection) = self.admit(true).await {
+            return rejection;
         }
         let after = query_number(uri, "after");
         let wait = Duration::from_millis(query_number(uri, "wait-ms").unwrap_or(0));
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
             let (found, down) = {
                 let store = lock(&self.store);
@@ -132,31 +132,31 @@
             if down {
                 return status(StatusCode::SERVICE_UNAVAILABLE);
             }
-            let late_enough = |version| after.is_none_or(|after| version > after);
+            let is_newer = |version| after.is_none_or(|after| version > after);
             match found {
-                Some((version, bytes)) if late_enough(version) => {
+                Some((version, bytes)) if is_newer(version) => {
                     return with_version(version, Response::new(full(bytes)));
                 }
                 None if after.is_none() => return status(StatusCode::NOT_FOUND),
-                _ if began.elapsed() >= wait => return status(StatusCode::NOT_MODIFIED),
-                _ => drop(smol::Timer::after(WATCH_STEP).await),
+                _ if started.elapsed() >= wait => return status(StatusCode::NOT_MODIFIED),
+                _ => drop(smol::Timer::after(WATCH_INTERVAL).await),
             }
         }
     }
 
     async fn write(&self, key: &str, headers: &HeaderMap, body: bytes::Bytes) -> Response<Body> {
-        if let Err(refusal) = self.admit(false).await {
-            return refusal;
+        if let Err(rejection) = self.admit(false).await {
+            return rejection;
         }
-        let Some(required) = required(headers) else {
+        let Some(precondition) = precondition(headers) else {
             return status(StatusCode::BAD_REQUEST);
         };
         let (written, lost) = {
             let mut store = lock(&self.store);
-            (store.write(key, body, required), store.loses_answer())
+            (store.write(key, body, precondition), store.loses_answer())
         };
         if lost {
-            smol::Timer::after(LOST).await;
+            smol::Timer::after(LOST_ANSWER_DELAY).await;
         }
         match written {
             Some(version) => with_version(version, status(StatusCode::OK)),
@@ -165,14 +165,14 @@
     }
 }
 
-fn required(headers: &HeaderMap) -> Option<Required> {
+fn precondition(headers: &HeaderMap) -> Option<Precondition> {
     if headers.contains_key(IF_NONE_MATCH) {
-        return Some(Required::Absent);
+        return Some(Precondition::Absent);
     }
     match headers.get(IF_MATCH) {
-        None => Some(Required::Nothing),
+        None => Some(Precondition::None),
         Some(version) => {
-            version.to_str().ok()?.trim_matches('"').parse().ok().map(Required::Version)
+            version.to_str().ok()?.trim_matches('"').parse().ok().map(Precondition::Version)
         }
     }
 }
--- a/crates/stand-in/src/reply.rs
+++ b/crates/stand-in/src/reply.rs
@@ -1,17 +1,17 @@
-//! Small helpers for responses.
+//! Constructors of responses.
 
 use hyper::{Response, StatusCode};
 use mastbay_web::{Body, empty, json};
 use serde::Serialize;
 
-/// An empty response.
+/// Creates an empty response.
 pub fn status(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(empty());
     *response.status_mut() = status;
     response
 }
 
-/// A JSON response.
+/// Creates a JSON response.
 pub fn value(value: &impl Serialize) -> Response<Body> {
     Response::new(json(value))
 }
--- a/crates/stand-in/src/store.rs
+++ b/crates/stand-in/src/store.rs
@@ -1,100 +1,101 @@
-//! The object API's state: versions, conditional updates, rates and faults.
+//! State of the simulated object API: versions, conditional updates, rate limits and faults.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Calls allowed each second.
+/// Rate limits, in calls per second.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Writes.
+    /// Limit of writes.
     pub writes_per_second: u32,
-    /// Reads, watches included.
+    /// Limit of reads, including watches.
     pub reads_per_second: u32,
 }
 
-/// Faults that are switched on from outside.
+/// Faults that tests inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
     /// Every call fails with 503 and has no effect.
     pub down: bool,
-    /// Milliseconds before each call takes effect.
+    /// Delay before each call takes effect, in milliseconds.
     pub delay_ms: u64,
-    /// Writes that take effect without an answer; counted down.
+    /// Number of further writes that take effect but whose answers are lost.
     pub lose_answers: u32,
-    /// Reads give the version before the latest.
+    /// Reads return the version before the latest.
     pub stale_reads: bool,
 }
 
-/// Calls since the start.
+/// Number of calls since the start of the process.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Counts {
-    /// Reads, watches included.
+    /// Reads, including watches.
     pub reads: u64,
-    /// Writes, whatever became of them.
+    /// Writes, including failed ones.
     pub writes: u64,
-    /// Calls refused for the rate.
+    /// Calls rejected by the rate limit.
     pub refused: u64,
-    /// Most writes within one second.
+    /// Largest number of writes within one second.
     pub peak_writes_per_second: u32,
 }
 
-/// An object with the version before it.
+/// Latest and previous version of an object.
 #[derive(Debug, Clone)]
 pub struct Stored {
-    /// The version.
+    /// Latest version, starting from 1.
     pub version: u64,
-    /// The value.
+    /// Value of the latest version.
     pub value: Bytes,
-    before: Option<(u64, Bytes)>,
+    previous: Option<(u64, Bytes)>,
 }
 
-/// What a write requires.
+/// Precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Required {
-    /// This version.
+pub enum Precondition {
+    /// The object has this version.
     Version(u64),
-    /// That the object does not exist.
+    /// The object does not exist.
     Absent,
-    /// Nothing.
-    Nothing,
+    /// Always holds.
+    None,
 }
 
+/// Number of calls in the current second.
 #[derive(Debug)]
-struct Window {
-    began: Instant,
+struct RateWindow {
+    started: Instant,
     calls: u32,
 }
 
-impl Window {
+impl RateWindow {
     fn admit(&mut self, limit: u32) -> bool {
-        if self.began.elapsed() >= Duration::from_secs(1) {
-            *self = Window { began: Instant::now(), calls: 0 };
+        if self.started.elapsed() >= Duration::from_secs(1) {
+            *self = RateWindow { started: Instant::now(), calls: 0 };
         }
         self.calls += 1;
         self.calls <= limit
     }
 }
 
-/// The store.
+/// Objects with their rate limits and faults.
 #[derive(Debug)]
 pub struct Store {
     limits: Limits,
-    /// Faults in force.
+    /// Faults that are injected at present.
     pub faults: Faults,
-    /// Calls so far.
+    /// Calls since the start of the process.
     pub counts: Counts,
     objects: BTreeMap<String, Stored>,
-    reads: Window,
-    writes: Window,
+    reads: RateWindow,
+    writes: RateWindow,
 }
 
 impl Store {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(limits: Limits) -> Self {
-        let window = || Window { began: Instant::now(), calls: 0 };
+        let window = || RateWindow { started: Instant::now(), calls: 0 };
         Self {
             limits,
             faults: Faults::default(),
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Counts a read. `false` if the rate is used up.
+    /// Counts a read. Returns false if it exceeds the rate limit.
     pub fn admit_read(&mut self) -> bool {
         self.counts.reads += 1;
         let admitted = self.reads.admit(self.limits.reads_per_second);
@@ -113,7 +114,7 @@
         admitted
     }
 
-    /// Counts a write. `false` if the rate is used up.
+    /// Counts a write. Returns false if it exceeds the rate limit.
     pub fn admit_write(&mut self) -> bool {
         self.counts.writes += 1;
         let admitted = self.writes.admit(self.limits.writes_per_second);
@@ -123,33 +124,35 @@
         admitted
     }
 
-    /// Reads an object, or the version before it while reads are stale.
+    /// Returns version and value of an object; those of the previous version while reads are stale.
     pub fn read(&self, key: &str) -> Option<(u64, Bytes)> {
         let stored = self.objects.get(key)?;
-        match (&stored.before, self.faults.stale_reads) {
-            (Some(before), true) => Some(before.clone()),
+        match (&stored.previous, self.faults.stale_reads) {
+            (Some(previous), true) => Some(previous.clone()),
             _ => Some((stored.version, stored.value.clone())),
         }
     }
 
-    /// Writes an object. `None` if what is required does not hold.
-    pub fn write(&mut self, key: &str, value: Bytes, required: Required) -> Option<u64> {
+    /// Writes an object and returns its new version; `None` if the precondition does not hold.
+    pub fn write(&mut self, key: &str, value: Bytes, precondition: Precondition) -> Option<u64> {
         let current = self.objects.get(key);
-        let holds = match required {
-            Required::Version(version) => current.is_some_and(|stored| stored.version == version),
-            Required::Absent => current.is_none(),
-            Required::Nothing => true,
+        let holds = match precondition {
+            Precondition::Version(version) => {
+                current.is_some_and(|stored| stored.version == version)
+            }
+            Precondition::Absent => current.is_none(),
+            Precondition::None => true,
         };
         if !holds {
             return None;
         }
-        let before = current.map(|stored| (stored.version, stored.value.clone()));
-        let version = before.as_ref().map_or(1, |(version, _)| version + 1);
-        self.objects.insert(key.to_owned(), Stored { version, value, before });
+        let previous = current.map(|stored| (stored.version, stored.value.clone()));
+        let version = previous.as_ref().map_or(1, |(version, _)| version + 1);
+        self.objects.insert(key.to_owned(), Stored { version, value, previous });
         Some(version)
     }
 
-    /// Whether the answer to the write just made is to be lost.
+    /// Returns whether the answer to the current write is to be lost, and counts it.
     pub fn loses_answer(&mut self) -> bool {
         let lost = self.faults.lose_answers > 0;
         self.faults.lose_answers = self.faults.lose_answers.saturating_sub(1);
