--- a/crates/scheduler/src/cells.rs
+++ b/crates/scheduler/src/cells.rs
@@ -1,4 +1,4 @@
-//! The cells that gateways bring to this scheduler.
+//! The cells that this scheduler grants slots for.
 
 use crate::metrics::{CellLabel, SchedulerMetrics};
 use mastbay_configuration::FleetConfiguration;
@@ -10,46 +10,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a cell without gateways is kept, with its tenants' levels.
-const IDLE_LIMIT: Duration = Duration::from_secs(120);
+/// Time without reports after which a cell is dropped, with its tenants' service levels.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-struct Held {
+struct CellEntry {
     cell: Cell,
     last_report: Timestamp,
 }
 
-/// All cells held here. Any cell that a gateway reports on is taken up.
+/// The cells of this scheduler. A cell is added by the first gateway report on it.
 pub struct Cells {
     me: ProcessId,
     incarnation: Incarnation,
     configuration: Arc<FleetConfiguration>,
-    held: BTreeMap<CellId, Held>,
+    cells: BTreeMap<CellId, CellEntry>,
 }
 
 impl Cells {
-    /// No cells of the scheduler `me`.
+    /// Creates an empty set of cells for the scheduler `me`.
     pub fn new(me: ProcessId, incarnation: Incarnation) -> Self {
-        Self { me, incarnation, configuration: Arc::default(), held: BTreeMap::new() }
+        Self { me, incarnation, configuration: Arc::default(), cells: BTreeMap::new() }
     }
 
-    /// Puts a configuration in force in every cell.
+    /// Applies a configuration to every cell and removes the cells of services it no longer has.
     pub fn configure(&mut self, configuration: &Arc<FleetConfiguration>, board: &MachineBoard) {
         self.configuration = configuration.clone();
-        self.held.retain(|id, _| configuration.services.contains_key(&id.service));
-        for held in self.held.values_mut() {
-            declare(&mut held.cell, configuration, board);
+        self.cells.retain(|id, _| configuration.services.contains_key(&id.service));
+        for entry in self.cells.values_mut() {
+            apply_configuration(&mut entry.cell, configuration, board);
         }
     }
 
-    /// Marks back ends on leaving machines.
+    /// Updates which back ends are leaving, by their configuration or their machine.
     pub fn mark_leaving(&mut self, board: &MachineBoard) {
-        for held in self.held.values_mut() {
-            mark_leaving(&mut held.cell, &self.configuration, board);
+        for entry in self.cells.values_mut() {
+            mark_leaving(&mut entry.cell, &self.configuration, board);
         }
     }
 
-    /// Takes a report and returns what to send. `gateways` gives all live ones, for a cell that is
-    /// taken over.
+    /// Processes a gateway's report and returns the messages to send. `gateways` lists the live
+    /// gateways; it is called only when the cell asks all of them for a report.
     pub fn handle_report(
         &mut self,
         now: Timestamp,
@@ -62,43 +62,43 @@
         if !self.configuration.services.contains_key(&id.service) {
             return Vec::new();
         }
-        let held = self.held.entry(id.clone()).or_insert_with(|| {
+        let entry = self.cells.entry(id.clone()).or_insert_with(|| {
             tracing::info!(event = "cell_taken_up", cell = %id);
             let mut cell = Cell::new(id, CellConfig::default(), self.me.clone(), self.incarnation);
-            declare(&mut cell, &self.configuration, board);
-            Held { cell, last_report: now }
+            apply_configuration(&mut cell, &self.configuration, board);
+            CellEntry { cell, last_report: now }
         });
-        held.last_report = now;
-        held.cell.handle_report(now, from, report);
-        let solicitation = held.cell.take_solicitation();
-        let mut outgoing = held.cell.poll_grants(now);
+        entry.last_report = now;
+        entry.cell.handle_report(now, from, report);
+        let solicitation = entry.cell.take_solicitation();
+        let mut outgoing = entry.cell.poll_grants(now);
         if let Some(message) = solicitation {
             outgoing.extend(gateways().into_iter().map(|gateway| (gateway, message.clone())));
         }
         outgoing
     }
 
-    /// Lets time pass in every cell and returns what to send.
+    /// Runs the timers of every cell, drops idle cells and returns the messages to send.
     pub fn handle_timeout(&mut self, now: Timestamp) -> Vec<(ProcessId, Grants)> {
-        self.held.retain(|_, held| now.since(held.last_report) < IDLE_LIMIT);
+        self.cells.retain(|_, entry| now.since(entry.last_report) < IDLE_TIMEOUT);
         let mut outgoing = Vec::new();
-        for held in self.held.values_mut() {
-            held.cell.handle_timeout(now);
-            outgoing.extend(held.cell.poll_grants(now));
+        for entry in self.cells.values_mut() {
+            entry.cell.handle_timeout(now);
+            outgoing.extend(entry.cell.poll_grants(now));
         }
         outgoing
     }
 
-    /// When [`Cells::handle_timeout`] should be called next.
+    /// Returns when [`Cells::handle_timeout`] is due next, [`Timestamp::NEVER`] without cells.
     pub fn next_timeout(&self, now: Timestamp) -> Timestamp {
-        let timeouts = self.held.values().map(|held| held.cell.next_timeout(now));
+        let timeouts = self.cells.values().map(|entry| entry.cell.next_timeout(now));
         timeouts.min().unwrap_or(Timestamp::NEVER)
     }
 
-    /// Sets the gauges.
+    /// Updates the gauges of every cell.
     pub fn publish(&self, metrics: &SchedulerMetrics) {
-        for (id, held) in &self.held {
-            let (label, status) = (CellLabel { cell: id.to_string() }, held.cell.status());
+        for (id, entry) in &self.cells {
+            let (label, status) = (CellLabel { cell: id.to_string() }, entry.cell.status());
             metrics.slots.get_or_create(&label).set(i64::from(status.slots));
             metrics.slots_in_use.get_or_create(&label).set(i64::from(status.in_use));
             let backlogged = i64::try_from(status.backlogged.len()).unwrap_or(i64::MAX);
@@ -106,35 +106,36 @@
         }
     }
 
-    /// All cells, for operators.
+    /// Returns the state of every cell for the admin interface.
     pub fn status(&self) -> Value {
-        self.held.iter().map(|(id, held)| cell_status(id, &held.cell)).collect()
+        self.cells.iter().map(|(id, entry)| cell_status(id, &entry.cell)).collect()
     }
 
-    /// Why a tenant waits: its place in each cell.
+    /// Returns a tenant's position in the order of each cell and why it waits; `None` if it has no
+    /// waiting requests.
     pub fn explain(&self, tenant: &TenantName) -> Option<Value> {
-        let accounts: Vec<Value> = self
-            .held
+        let explanations: Vec<Value> = self
+            .cells
             .iter()
-            .filter_map(|(id, held)| explain_in_cell(id, &held.cell, tenant))
+            .filter_map(|(id, entry)| explain_in_cell(id, &entry.cell, tenant))
             .collect();
-        if accounts.is_empty() {
+        if explanations.is_empty() {
             None
         } else {
-            Some(json!({ "tenant": tenant, "cells": accounts }))
+            Some(json!({ "tenant": tenant, "cells": explanations }))
         }
     }
 }
 
-fn declare(cell: &mut Cell, configuration: &FleetConfiguration, board: &MachineBoard) {
+fn apply_configuration(cell: &mut Cell, configuration: &FleetConfiguration, board: &MachineBoard) {
     let service = cell.id().service.clone();
     let backends: Vec<(BackendName, u32)> = configuration
         .backends_of(&service)
         .map(|(name, backend)| (name.clone(), backend.slots))
         .collect();
     cell.set_backends(&backends);
-    if let Some(declared) = configuration.services.get(&service) {
-        cell.set_ahead(declared.ahead);
+    if let Some(service_config) = configuration.services.get(&service) {
+        cell.set_ahead(service_config.ahead);
     }
     for (name, tenant) in &configuration.tenants {
         cell.set_weight(name, tenant.weight);
@@ -174,16 +175,16 @@
 
 fn explain_in_cell(id: &CellId, cell: &Cell, tenant: &TenantName) -> Option<Value> {
     let status = cell.status();
-    let place = status.backlogged.iter().position(|entry| entry.tenant == *tenant)?;
-    let entry = &status.backlogged[place];
-    let reason = match (status.in_use >= status.slots, place) {
+    let position = status.backlogged.iter().position(|entry| entry.tenant == *tenant)?;
+    let entry = &status.backlogged[position];
+    let reason = match (status.in_use >= status.slots, position) {
         (true, 0) => "next in order; every slot is in use",
         (true, _) => "tenants with less service over weight come first; every slot is in use",
         (false, _) => "a slot is free and is being granted",
     };
     Some(json!({
         "cell": id.to_string(),
-        "place": place + 1,
+        "place": position + 1,
         "backlogged_tenants": status.backlogged.len(),
         "waiting": entry.waiting,
         "level": entry.level,
--- a/crates/scheduler/src/claims.rs
+++ b/crates/scheduler/src/claims.rs
@@ -1,4 +1,4 @@
-//! Carries the claim keeper's calls to the platform.
+//! Executes the claim keeper's reads and writes of claim shards on the platform.
 
 use crate::duty::SchedulerDuty;
 use bytes::Bytes;
@@ -10,21 +10,21 @@
     format!("claims/{shard}")
 }
 
-/// Makes one call and hands its outcome to the keeper.
-pub async fn carry_out(duty: Arc<SchedulerDuty>, operation: Operation) {
+/// Executes one operation and reports its outcome to the keeper.
+pub async fn execute(duty: Arc<SchedulerDuty>, operation: Operation) {
     duty.metrics().claim_calls.inc();
     let platform = duty.node().platform();
     let shard = operation.shard;
     match operation.kind {
         OperationKind::Read => {
             let outcome = read(platform, shard).await;
-            duty.note_claim_outcome(outcome.is_err());
+            duty.record_claim_outcome(outcome.is_err());
             let now = duty.node().now();
             duty.with_keeper(|keeper| keeper.handle_read(now, shard, outcome));
         }
         OperationKind::Write { expected, value } => {
             let outcome = write(platform, shard, expected, value).await;
-            duty.note_claim_outcome(outcome.is_err());
+            duty.record_claim_outcome(outcome.is_err());
             let now = duty.node().now();
             duty.with_keeper(|keeper| keeper.handle_write(now, shard, outcome));
         }
@@ -45,7 +45,8 @@
     };
     match ClaimShard::decode(&object.value) {
         Ok(contents) => Ok(Some((object.version, contents))),
-        // Without the claims in it nothing may be granted; an operator has to look.
+        // No claim of the shard may be granted while its contents are unknown; an operator has to
+        // repair the shard.
         Err(error) => {
             tracing::error!(event = "claim_shard_unreadable", shard = %shard, %error);
             Err(CallFailure::NoAnswer)
--- a/crates/scheduler/src/duty.rs
+++ b/crates/scheduler/src/duty.rs
@@ -1,4 +1,4 @@
-//! What a scheduler does with messages and time.
+//! Handles messages, timers and configuration changes of the scheduler.
 
 use crate::cells::Cells;
 use crate::claims;
@@ -18,8 +18,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Longest sleep between two looks at the timers.
-const LONGEST_SLEEP: Duration = Duration::from_millis(200);
+/// Maximum time between two runs of the timers.
+const MAX_SLEEP: Duration = Duration::from_millis(200);
 
 struct State {
     cells: Cells,
@@ -27,7 +27,7 @@
     board: MachineBoard,
 }
 
-/// The scheduler's duty.
+/// The state of a scheduler and its handlers of messages and timers.
 pub struct SchedulerDuty {
     node: Arc<Node>,
     settings: SchedulerSettings,
@@ -37,7 +37,7 @@
 }
 
 impl SchedulerDuty {
-    /// A scheduler without cells or claims.
+    /// Creates a scheduler without cells or claims.
     pub fn new(
         node: Arc<Node>,
         settings: SchedulerSettings,
@@ -52,29 +52,29 @@
         Arc::new(Self { node, settings, metrics, state, wake })
     }
 
-    /// The process as a member.
+    /// Returns this process as a member of the fleet.
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
 
-    /// The scheduler's settings.
+    /// Returns the settings of the section `[scheduler]`.
     pub fn settings(&self) -> &SchedulerSettings {
         &self.settings
     }
 
-    /// The scheduler's metrics.
+    /// Returns the metrics of this process.
     pub fn metrics(&self) -> &SchedulerMetrics {
         &self.metrics
     }
 
-    /// Counts a failed call for claims.
-    pub fn note_claim_outcome(&self, failed: bool) {
+    /// Counts a read or write of a claim shard if it failed.
+    pub fn record_claim_outcome(&self, failed: bool) {
         if failed {
             self.metrics.claim_failures.inc();
         }
     }
 
-    /// Changes the claim keeper and sends the answers that are ready.
+    /// Runs `change` on the claim keeper, then sends the answers that are ready.
     pub fn with_keeper(&self, change: impl FnOnce(&mut ClaimKeeper)) {
         let mut state = self.lock();
         change(&mut state.keeper);
@@ -85,33 +85,33 @@
         }
     }
 
-    /// Offers a machine list. Returns whether it was news.
+    /// Applies a machine list if it is newer than the current one. Returns whether it was.
     pub fn offer_machines(&self, list: MachineList) -> bool {
         let mut state = self.lock();
         let State { cells, board, .. } = &mut *state;
-        let news = board.offer(list);
-        if news {
+        let is_newer = board.offer(list);
+        if is_newer {
             cells.mark_leaving(board);
         }
-        news
+        is_newer
     }
 
-    /// Makes the loop look at the timers now.
+    /// Wakes the timer loop.
     pub fn wake(&self) {
         self.wake.wake();
     }
 
-    /// Runs the timers for ever.
+    /// Runs the timers until the process ends.
     pub async fn run(self: Arc<Self>) {
         loop {
             let now = self.node.now();
-            let next = self.pass_time(now);
-            let sleep = next.since(self.node.now()).min(LONGEST_SLEEP);
+            let next = self.run_timers(now);
+            let sleep = next.since(self.node.now()).min(MAX_SLEEP);
             self.wake.sleep(sleep).await;
         }
     }
 
-    fn pass_time(self: &Arc<Self>, now: Timestamp) -> Timestamp {
+    fn run_timers(self: &Arc<Self>, now: Timestamp) -> Timestamp {
         let mut state = self.lock();
         let outgoing = state.cells.handle_timeout(now);
         state.cells.publish(&self.metrics);
@@ -121,7 +121,7 @@
         self.send_grants(outgoing);
         self.with_keeper(|_| ());
         if let Some(operation) = operation {
-            smol::spawn(claims::carry_out(self.clone(), operation)).detach();
+            smol::spawn(claims::execute(self.clone(), operation)).detach();
         }
         next
     }
@@ -135,7 +135,7 @@
 
     fn handle_machines(&self, from: &ProcessId, message: MachineMessage) {
         match message {
-            MachineMessage::List(list) => machines::take_list(self, list),
+            MachineMessage::List(list) => machines::handle_list(self, list),
             MachineMessage::ListRequest => {
                 let list = self.lock().board.newest().clone();
                 self.node.send(from, Message::Machines(MachineMessage::List(list)));
@@ -177,8 +177,9 @@
 
     fn members_changed(&self) {
         let schedulers = self.node.live(Role::Scheduler);
-        let share = self.settings.claim_writes_per_second as f64 / schedulers.len().max(1) as f64;
-        self.lock().keeper.set_spacing(Duration::from_secs_f64(1.0 / share));
+        let writes_per_second =
+            self.settings.claim_writes_per_second as f64 / schedulers.len().max(1) as f64;
+        self.lock().keeper.set_spacing(Duration::from_secs_f64(1.0 / writes_per_second));
         for peer in schedulers.iter().filter(|peer| *peer != self.node.me()) {
             self.node.send(peer, Message::Machines(MachineMessage::ListRequest));
         }
--- a/crates/scheduler/src/machines.rs
+++ b/crates/scheduler/src/machines.rs
@@ -1,4 +1,5 @@
-//! A few schedulers of each zone read the platform's machine list and share it with the others.
+//! Distribution of the platform's machine list: the watchers of each zone poll it and send it to
+//! the other schedulers.
 
 use crate::duty::SchedulerDuty;
 use mastbay_machines::{MachineList, MachineMessage};
@@ -6,12 +7,13 @@
 use mastbay_peer::Message;
 use std::sync::Arc;
 
-/// Reads the list for ever, while this process is among its zone's watchers; others hear of it.
-pub async fn follow_machine_list(duty: Arc<SchedulerDuty>) {
+/// Polls the machine list at `machine-list-interval` whenever this process is a watcher of its
+/// zone.
+pub async fn poll_machine_list(duty: Arc<SchedulerDuty>) {
     loop {
         if duty.node().is_watcher() {
             match duty.node().platform().machines().await {
-                Ok(list) => take_list(&duty, list),
+                Ok(list) => handle_list(&duty, list),
                 Err(error) => duty.node().note_failure(&error),
             }
         }
@@ -19,8 +21,8 @@
     }
 }
 
-/// Takes a list from the platform or a peer; a newer one is passed on.
-pub fn take_list(duty: &SchedulerDuty, list: MachineList) {
+/// Applies a list from the platform or a peer. A newer one is relayed to the other schedulers.
+pub fn handle_list(duty: &SchedulerDuty, list: MachineList) {
     if !duty.offer_machines(list.clone()) {
         return;
     }
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,5 +1,6 @@
-//! `mastbay-scheduler`: hands out the slots of back ends in fair order, keeps claims and watches the
-//! configuration. Its state is soft; any scheduler can take over any cell.
+//! `mastbay-scheduler`: grants the slots of back ends to tenants in fair order, stores claims and
+//! watches the configuration. Any scheduler can take over any cell: the state of a cell is rebuilt
+//! from the gateways' reports.
 
 use mastbay_node::report_and_exit_code;
 use std::path::PathBuf;
--- a/crates/scheduler/src/metrics.rs
+++ b/crates/scheduler/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a scheduler.
+//! Prometheus metrics of a scheduler.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -6,34 +6,34 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Label of metrics kept for each cell.
+/// Label of the metrics with one series per cell.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CellLabel {
-    /// The cell.
+    /// The cell, in its displayed form.
     pub cell: String,
 }
 
-/// Metrics of a scheduler.
+/// Counters and gauges of a scheduler process.
 #[derive(Debug, Default)]
 pub struct SchedulerMetrics {
     /// Grants sent.
     pub grants: Counter,
     /// Reports received.
     pub reports: Counter,
-    /// Slots of back ends that take work.
+    /// Slots of the back ends that accept requests.
     pub slots: Family<CellLabel, Gauge>,
     /// Slots in use.
     pub slots_in_use: Family<CellLabel, Gauge>,
-    /// Tenants with work that waits.
+    /// Tenants with waiting requests.
     pub backlogged_tenants: Family<CellLabel, Gauge>,
     /// Reads and writes of claim shards.
     pub claim_calls: Counter,
-    /// Calls for claims that failed or met a conflict.
+    /// Reads and writes of claim shards that failed or hit a version conflict.
     pub claim_failures: Counter,
 }
 
 impl SchedulerMetrics {
-    /// Metrics registered under the prefix `mastbay_scheduler`.
+    /// Creates the metrics and registers them under the prefix `mastbay_scheduler`.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         let registry = registry.sub_registry_with_prefix("mastbay_scheduler");
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a scheduler beyond the shared ones.
+//! The settings that only schedulers have.
 
 use mastbay_settings::{Bounded, Document, Faults, Span};
 use std::time::Duration;
@@ -6,20 +6,20 @@
 /// Settings of the section `[scheduler]`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SchedulerSettings {
-    /// `claim-writes-per-second`: the whole fleet's share of the platform's writes for claims,
-    /// divided among the live schedulers.
+    /// `claim-writes-per-second`: limit of the fleet's claim writes to the platform, divided evenly
+    /// among the live schedulers.
     pub claim_writes_per_second: u32,
     /// `machine-list-interval`: time between two reads of the machine list.
     pub machine_list_interval: Duration,
 }
 
-/// The section's name.
+/// Name of the section in the settings file.
 pub const SECTION: &str = "scheduler";
 
 const DEFAULT_CLAIM_WRITES: u64 = 60;
 const DEFAULT_LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reads the section.
+/// Parses the section and adds invalid settings to `faults`.
 pub fn read(document: &Document, faults: &mut Faults) -> Option<SchedulerSettings> {
     let mut section = document.section(SECTION, faults);
     let writes: Bounded<1, 10_000> =
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -1,7 +1,7 @@
-//! Starting and stopping the scheduler.
+//! Startup and shutdown of the scheduler.
 
 use crate::duty::SchedulerDuty;
-use crate::machines::follow_machine_list;
+use crate::machines::poll_machine_list;
 use crate::metrics::SchedulerMetrics;
 use crate::settings;
 use mastbay_membership::Role;
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the notice of leaving in which reports already under way are still answered and
-/// gateways turn to the next scheduler.
-const HANDOVER: Duration = Duration::from_millis(500);
+/// Time between announcing the leave and exiting. Reports in flight are still answered while
+/// gateways switch to the next scheduler.
+const LEAVE_GRACE: Duration = Duration::from_millis(500);
 
-/// Runs the scheduler until it is asked to stop; with `check`, only checks its settings.
+/// Runs the scheduler until it is signalled to stop. With `check`, only validates the settings.
 pub async fn run(path: &Path, check: bool) -> Result<ExitReason, StartError> {
     let (node_settings, own) = load_settings(path, &[settings::SECTION], settings::read)?;
     if check {
@@ -40,7 +40,7 @@
     smol::spawn(serve_admin(admin, Arc::new(registry), duty)).detach();
     wait_for_stop().await.map_err(StartError::Signals)?;
     node.leave();
-    smol::Timer::after(HANDOVER).await;
+    smol::Timer::after(LEAVE_GRACE).await;
     tracing::info!(event = "stopped", process = %node.me());
     Ok(ExitReason::Stopped)
 }
@@ -56,5 +56,5 @@
     smol::spawn(node.clone().read_root_at_start(as_duty.clone())).detach();
     smol::spawn(node.clone().watch_root(as_duty)).detach();
     smol::spawn(duty.clone().run()).detach();
-    smol::spawn(follow_machine_list(duty.clone())).detach();
+    smol::spawn(poll_machine_list(duty.clone())).detach();
 }
