--- a/crates/gateway/src/access.rs
+++ b/crates/gateway/src/access.rs
@@ -1,4 +1,4 @@
-//! Which tenant a caller's key belongs to.
+//! Authentication of callers by their bearer keys.
 
 use hyper::header::{AUTHORIZATION, HeaderMap};
 use mastbay_configuration::{FleetConfiguration, KeyDigest};
@@ -6,17 +6,17 @@
 use std::collections::HashMap;
 use subtle::ConstantTimeEq;
 
-/// Scheme of the authorization header.
+/// Scheme of the authorization header, with the space before the key.
 const SCHEME: &str = "Bearer ";
 
-/// Tenants by the digests of their keys.
+/// Maps the digests of keys to tenants.
 #[derive(Debug, Default)]
 pub struct AccessTable {
     tenants: HashMap<KeyDigest, TenantName>,
 }
 
 impl AccessTable {
-    /// The table for a configuration.
+    /// Builds the table from the keys of all tenants of a configuration.
     pub fn new(configuration: &FleetConfiguration) -> Self {
         let mut tenants = HashMap::new();
         for (name, tenant) in &configuration.tenants {
@@ -27,13 +27,13 @@
         Self { tenants }
     }
 
-    /// The tenant whose key the headers show.
+    /// Returns the tenant of the bearer key in `headers`; `None` if it is missing or unknown.
     pub fn tenant(&self, headers: &HeaderMap) -> Option<TenantName> {
         let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
-        let shown = KeyDigest::of(value.strip_prefix(SCHEME)?.trim());
-        // Keys are compared by their digests, so the look-up's timing tells nothing of a key; the
-        // digests themselves are compared in constant time.
-        let (known, tenant) = self.tenants.get_key_value(&shown)?;
-        bool::from(known.as_bytes().ct_eq(shown.as_bytes())).then(|| tenant.clone())
+        let presented = KeyDigest::of(value.strip_prefix(SCHEME)?.trim());
+        // The lookup uses digests, so its timing reveals nothing about a key. The digests
+        // themselves are compared in constant time.
+        let (known, tenant) = self.tenants.get_key_value(&presented)?;
+        bool::from(known.as_bytes().ct_eq(presented.as_bytes())).then(|| tenant.clone())
     }
 }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,8 +1,8 @@
-//! From a caller's HTTP request to an accepted request, or the reason why not.
+//! Admission of callers' HTTP requests: authentication, routing to a service, and validation.
 
 use crate::access::AccessTable;
 use crate::request::{
-    AcceptedRequest, DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID, RequestName, TENANT, TRACEPARENT,
+    AcceptedRequest, DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID, RequestIdentity, TENANT, TRACEPARENT,
 };
 use bytes::Bytes;
 use hyper::header::{
@@ -18,15 +18,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Path of the model interface.
+/// Path of requests that are routed by the model in their body.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// Longest idempotency key, in bytes.
-const LONGEST_KEY: usize = 255;
-/// Longest time that a caller may give a request.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_LENGTH: usize = 255;
+/// Maximum timeout that a caller may ask for.
+const MAX_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-/// Headers that speak about one connection only, or to the gateway only.
-const NOT_PASSED_ON: [HeaderName; 14] = [
+/// Headers removed before forwarding: they apply to one connection, or only to the gateway.
+const STRIPPED_HEADERS: [HeaderName; 14] = [
     AUTHORIZATION,
     CONNECTION,
     CONTENT_LENGTH,
@@ -43,60 +43,60 @@
     TENANT,
 ];
 
-/// What a request is checked against.
+/// The configuration that requests are checked against.
 #[derive(Debug, Clone)]
 pub struct Admission {
     /// The configuration in force.
     pub configuration: Arc<FleetConfiguration>,
-    /// Its keys.
+    /// The keys of its tenants.
     pub access: Arc<AccessTable>,
 }
 
-/// A request whose head was checked: its caller is known.
+/// A request whose tenant is known and whose body is not read yet.
 #[derive(Debug)]
-pub struct RecognisedCaller {
+pub struct AuthenticatedRequest {
     tenant: TenantName,
     head: Parts,
 }
 
-/// The part of a chat-completions request that routing needs.
+/// The fields of a chat completions request that routing needs.
 #[derive(Deserialize)]
 struct ChatRequest {
     model: String,
 }
 
 impl Admission {
-    /// Checks the key, before any of the body is read.
-    pub fn recognise(&self, head: Parts) -> Result<RecognisedCaller, NotRunReason> {
+    /// Authenticates the caller by the head alone, before the body is read.
+    pub fn authenticate(&self, head: Parts) -> Result<AuthenticatedRequest, NotRunReason> {
         let tenant = self.access.tenant(&head.headers).ok_or(NotRunReason::Unauthorized)?;
-        Ok(RecognisedCaller { tenant, head })
+        Ok(AuthenticatedRequest { tenant, head })
     }
 
-    /// Finds the service and what the caller asks for.
+    /// Finds the service of the request and validates its timeout and idempotency key.
     pub fn accept(
         &self,
-        name: RequestName,
-        caller: RecognisedCaller,
+        identity: RequestIdentity,
+        request: AuthenticatedRequest,
         body: Bytes,
         now: Timestamp,
     ) -> Result<AcceptedRequest, NotRunReason> {
-        let RecognisedCaller { tenant, head } = caller;
+        let AuthenticatedRequest { tenant, head } = request;
         let (service_name, service) = self.route(head.uri.path(), &body)?;
-        let span = deadline(&head.headers)?.unwrap_or(service.deadline);
+        let timeout = requested_timeout(&head.headers)?.unwrap_or(service.deadline);
         let claim = match idempotency_key(&head.headers)? {
             Some(key) if !service.repeatable => Some(ClaimKey::new(&tenant, service_name, &key)),
             _ => None,
         };
         let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
         Ok(AcceptedRequest {
-            name,
+            identity,
             cell: CellId { service: service_name.clone(), index: 0 },
             service: service.clone(),
-            deadline: now + span,
+            deadline: now + timeout,
             claim,
             method: head.method,
             target,
-            headers: headers_passed_on(head.headers, &name, &tenant),
+            headers: forwarded_headers(head.headers, &identity, &tenant),
             tenant,
             body,
         })
@@ -106,13 +106,16 @@
         if path == CHAT_PATH {
             let chat: ChatRequest =
                 serde_json::from_slice(body).map_err(|_| NotRunReason::BadRequest)?;
-            return self
-                .find(|kind| matches!(kind, ServiceKind::Model { model } if *model == chat.model));
+            return self.find_service(
+                |kind| matches!(kind, ServiceKind::Model { model } if *model == chat.model),
+            );
         }
-        self.find(|kind| matches!(kind, ServiceKind::Plain { prefix } if is_below(path, prefix)))
+        self.find_service(
+            |kind| matches!(kind, ServiceKind::Plain { prefix } if has_path_prefix(path, prefix)),
+        )
     }
 
-    fn find(
+    fn find_service(
         &self,
         wanted: impl Fn(&ServiceKind) -> bool,
     ) -> Result<(&ServiceName, &Service), NotRunReason> {
@@ -121,17 +124,17 @@
     }
 }
 
-fn is_below(path: &str, prefix: &str) -> bool {
+fn has_path_prefix(path: &str, prefix: &str) -> bool {
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, NotRunReason> {
+fn requested_timeout(headers: &HeaderMap) -> Result<Option<Duration>, NotRunReason> {
     let Some(value) = headers.get(DEADLINE) else {
         return Ok(None);
     };
     let millis: Option<u64> = value.to_str().ok().and_then(|text| text.parse().ok());
     match millis.map(Duration::from_millis) {
-        Some(span) if !span.is_zero() && span <= LONGEST_DEADLINE => Ok(Some(span)),
+        Some(timeout) if !timeout.is_zero() && timeout <= MAX_TIMEOUT => Ok(Some(timeout)),
         _ => Err(NotRunReason::BadRequest),
     }
 }
@@ -141,23 +144,27 @@
         return Ok(None);
     };
     match value.to_str() {
-        Ok(key) if !key.is_empty() && key.len() <= LONGEST_KEY => Ok(Some(key.to_owned())),
+        Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_LENGTH => Ok(Some(key.to_owned())),
         _ => Err(NotRunReason::BadRequest),
     }
 }
 
-fn headers_passed_on(mut headers: HeaderMap, name: &RequestName, tenant: &TenantName) -> HeaderMap {
-    for header in &NOT_PASSED_ON {
+fn forwarded_headers(
+    mut headers: HeaderMap,
+    identity: &RequestIdentity,
+    tenant: &TenantName,
+) -> HeaderMap {
+    for header in &STRIPPED_HEADERS {
         headers.remove(header);
     }
     let mut set = |header, text: &str| {
-        // Names and numbers of ours are always valid header text.
+        // These names and identifiers are always valid header values.
         if let Ok(value) = HeaderValue::from_str(text) {
             headers.insert(header, value);
         }
     };
-    set(REQUEST_ID, &name.id.to_string());
+    set(REQUEST_ID, &identity.id.to_string());
     set(TENANT, tenant.as_str());
-    set(TRACEPARENT, &name.trace.to_string());
+    set(TRACEPARENT, &identity.trace.to_string());
     headers
 }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,6 +1,6 @@
-//! Answers to callers, each with its outcome.
+//! Builds the answers to callers, with the outcome of the request in their headers.
 
-use crate::request::{OUTCOME, REQUEST_ID, RequestName, TRACEPARENT};
+use crate::request::{OUTCOME, REQUEST_ID, RequestIdentity, TRACEPARENT};
 use bytes::Bytes;
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, HeaderMap, HeaderValue, RETRY_AFTER,
@@ -11,7 +11,7 @@
 use mastbay_web::{Body, full, json};
 use serde::Serialize;
 
-/// The body of an answer that is not the back end's.
+/// JSON body of an answer that the gateway generates itself.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody {
     error: ErrorDetail,
@@ -26,8 +26,8 @@
 }
 
 impl ErrorBody {
-    /// The body for an outcome other than "answered".
-    pub fn new(name: &RequestName, outcome: Outcome) -> Self {
+    /// Creates the body for an outcome other than "answered".
+    pub fn new(identity: &RequestIdentity, outcome: Outcome) -> Self {
         let message = match outcome {
             Outcome::Answered => String::new(),
             Outcome::NotRun(reason) => reason.to_string(),
@@ -37,15 +37,15 @@
             code: outcome.code(),
             message,
             outcome: outcome.to_string(),
-            request_id: name.id.to_string(),
+            request_id: identity.id.to_string(),
         };
         Self { error }
     }
 }
 
-/// The answer for an outcome other than "answered".
-pub fn error_answer(name: &RequestName, outcome: Outcome) -> Response<Body> {
-    let mut response = Response::new(json(&ErrorBody::new(name, outcome)));
+/// Builds the answer for an outcome other than "answered".
+pub fn error_answer(identity: &RequestIdentity, outcome: Outcome) -> Response<Body> {
+    let mut response = Response::new(json(&ErrorBody::new(identity, outcome)));
     *response.status_mut() =
         StatusCode::from_u16(outcome.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
@@ -53,23 +53,23 @@
     if let Outcome::NotRun(reason) = outcome {
         headers.insert(RETRY_AFTER, HeaderValue::from(reason.retry_after().as_secs()));
     }
-    mark(headers, name, outcome);
+    add_request_headers(headers, identity, outcome);
     response
 }
 
-/// The back end's answer, whole.
-pub fn whole_answer(
-    name: &RequestName,
+/// Builds the answer from a complete answer of the back end.
+pub fn buffered_answer(
+    identity: &RequestIdentity,
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response<Body> {
-    head_of_answer(name, status, headers, full(body))
+    build_answer(identity, status, headers, full(body))
 }
 
-/// The back end's answer with a body that may still be on its way.
-pub fn head_of_answer(
-    name: &RequestName,
+/// Builds the answer from the head of the back end's answer and a body that may be streamed.
+pub fn build_answer(
+    identity: &RequestIdentity,
     status: StatusCode,
     mut headers: HeaderMap,
     body: Body,
@@ -77,21 +77,21 @@
     for header in [CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING] {
         headers.remove(header);
     }
-    mark(&mut headers, name, Outcome::Answered);
+    add_request_headers(&mut headers, identity, Outcome::Answered);
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-fn mark(headers: &mut HeaderMap, name: &RequestName, outcome: Outcome) {
+fn add_request_headers(headers: &mut HeaderMap, identity: &RequestIdentity, outcome: Outcome) {
     let mut set = |header, text: String| {
-        // Outcomes and identifiers are always valid header text.
+        // Outcomes and identifiers are always valid header values.
         if let Ok(value) = HeaderValue::from_str(&text) {
             headers.insert(header, value);
         }
     };
     set(OUTCOME, outcome.to_string());
-    set(REQUEST_ID, name.id.to_string());
-    set(TRACEPARENT, name.trace.to_string());
+    set(REQUEST_ID, identity.id.to_string());
+    set(TRACEPARENT, identity.trace.to_string());
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,5 +1,5 @@
-//! One try: a connection, the request's bytes, the head of the answer and, unless it is a stream, the
-//! whole answer.
+//! One attempt at a back end: connects, sends the request and reads the head of the answer and,
+//! unless it is streamed, its body.
 
 use crate::duty::GatewayDuty;
 use crate::request::{AcceptedRequest, REQUEST_ID, TRACEPARENT};
@@ -18,49 +18,49 @@
 /// Media type of streams.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// What a try that did not fail brought.
-pub enum Brought {
-    /// The whole answer.
-    Whole(WholeAnswer),
-    /// The head of a stream.
+/// The answer of a successful attempt.
+pub enum BackendAnswer {
+    /// An answer that is read completely.
+    Buffered(BufferedAnswer),
+    /// A streamed answer whose head is read.
     Stream(OpenStream),
 }
 
-/// A whole answer.
-pub struct WholeAnswer {
-    /// Its status.
+/// An answer with its complete body.
+pub struct BufferedAnswer {
+    /// HTTP status of the answer.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body, up to `answer-limit`.
     pub body: Bytes,
 }
 
-/// A stream that has begun.
+/// A streamed answer whose body is still to be read.
 pub struct OpenStream {
-    /// Its headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body, from its first byte.
     pub body: Incoming,
-    /// Where it comes from.
+    /// Address of the back end.
     pub source: SocketAddr,
-    /// The connection that carries it.
+    /// The connection; reusable once the body is read completely.
     pub connection: Connection,
 }
 
-/// Time from `now` to `deadline`.
+/// Returns the time until `deadline`, zero once it has passed.
 pub fn time_left(duty: &GatewayDuty, deadline: Timestamp) -> Duration {
     deadline.since(duty.node().now())
 }
 
-/// Tries to run the request at `address`.
+/// Sends the request to the back end at `address` and reads its answer.
 pub async fn attempt(
     duty: &GatewayDuty,
     request: &AcceptedRequest,
     exchange: &mut Exchange,
     address: SocketAddr,
     trace: TraceContext,
-) -> Result<Brought, Failure> {
+) -> Result<BackendAnswer, Failure> {
     let mut connection = connect(duty, request, address).await?;
     let outgoing = outgoing(request, address, trace).ok_or(Failure::Connect)?;
     if !exchange.may_send(duty.node().now()) {
@@ -71,28 +71,33 @@
     let (head, body) = response.into_parts();
     if is_stream(&head.headers) {
         let headers = head.headers;
-        return Ok(Brought::Stream(OpenStream { headers, body, source: address, connection }));
+        return Ok(BackendAnswer::Stream(OpenStream {
+            headers,
+            body,
+            source: address,
+            connection,
+        }));
     }
     let limit = duty.settings().answer_limit;
     let body = within(time_left(duty, request.deadline), read_limited(body, limit))
         .await
         .map_err(|_| Failure::Deadline)?
         .map_err(|error| {
-            tracing::warn!(event = "answer_broken", request = %request.name.id, %error);
+            tracing::warn!(event = "answer_broken", request = %request.identity.id, %error);
             Failure::Broken
         })?;
     duty.connections().keep(address, connection);
-    Ok(Brought::Whole(WholeAnswer { status: head.status, headers: head.headers, body }))
+    Ok(BackendAnswer::Buffered(BufferedAnswer { status: head.status, headers: head.headers, body }))
 }
 
-/// A connection that did not come up in the time that the request had left says nothing about the
-/// back end.
+/// Returns an idle or a new connection. A connect that fails at the deadline of the request is not
+/// blamed on the back end.
 async fn connect(
     duty: &GatewayDuty,
     request: &AcceptedRequest,
     address: SocketAddr,
 ) -> Result<Connection, Failure> {
-    let limit = duty.settings().connect_limit.min(time_left(duty, request.deadline));
+    let limit = duty.settings().connect_timeout.min(time_left(duty, request.deadline));
     if let Some(connection) = duty.connections().take(address) {
         return Ok(connection);
     }
@@ -112,14 +117,14 @@
     connection: &mut Connection,
     outgoing: Request<Full<Bytes>>,
 ) -> Result<Response<Incoming>, Failure> {
-    let answered = connection.exchange(outgoing);
-    match within(time_left(duty, request.deadline), answered).await {
+    let response = connection.exchange(outgoing);
+    match within(time_left(duty, request.deadline), response).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) => {
             if !error.written {
                 exchange.nothing_written();
             }
-            tracing::warn!(event = "exchange_failed", request = %request.name.id, %error);
+            tracing::warn!(event = "exchange_failed", request = %request.identity.id, %error);
             Err(Failure::Broken)
         }
         Err(_) => Err(Failure::Deadline),
@@ -141,11 +146,11 @@
     Some(outgoing)
 }
 
-/// A back end that tells which request it answers must tell ours.
+/// Checks the request identifier in the answer, if the back end sent one.
 fn check_identity(request: &AcceptedRequest, headers: &HeaderMap) -> Result<(), Failure> {
     match headers.get(REQUEST_ID) {
-        Some(told) if told.as_bytes() != request.name.id.to_string().as_bytes() => {
-            tracing::error!(event = "answer_mismatch", request = %request.name.id);
+        Some(answered) if answered.as_bytes() != request.identity.id.to_string().as_bytes() => {
+            tracing::error!(event = "answer_mismatch", request = %request.identity.id);
             Err(Failure::Mismatch)
         }
         _ => Ok(()),
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -1,4 +1,4 @@
-//! A request's claim, from taking it to noting what became of it.
+//! Taking and settling the claim of a request that must run at most once.
 
 use crate::duty::GatewayDuty;
 use crate::request::AcceptedRequest;
@@ -6,38 +6,39 @@
 use mastbay_claims::{ClaimRequest, ClaimState, Intent, Verdict};
 use mastbay_web::within;
 
-fn wish(request: &AcceptedRequest, intent: Intent) -> Option<ClaimRequest> {
+fn claim_request(request: &AcceptedRequest, intent: Intent) -> Option<ClaimRequest> {
     let key = request.claim.clone()?;
-    Some(ClaimRequest { key, request: request.name.id, intent })
+    Some(ClaimRequest { key, request: request.identity.id, intent })
 }
 
-/// Takes the claim and gives the next step.
+/// Takes the claim of the request, if it has one, and returns the next step of `exchange`.
 pub async fn take(duty: &GatewayDuty, request: &AcceptedRequest, exchange: &mut Exchange) -> Step {
-    let Some(wish) = wish(request, Intent::Take) else {
+    let Some(claim_request) = claim_request(request, Intent::Take) else {
         return exchange.claim_kept();
     };
-    let verdict = duty.take_claim(wish.clone());
+    let answer = duty.take_claim(claim_request.clone());
     let time_left = request.deadline.since(duty.node().now());
-    match within(time_left, verdict.recv()).await {
+    match within(time_left, answer.recv()).await {
         Ok(Ok(Verdict::Kept)) => exchange.claim_kept(),
         Ok(Ok(Verdict::Taken { state, .. })) => {
             exchange.claim_taken(matches!(state, ClaimState::Completed { .. }))
         }
         Ok(Ok(Verdict::Unavailable) | Err(_)) | Err(_) => {
-            duty.forget_claim(&wish);
+            duty.abandon_claim(&claim_request);
             exchange.claim_unavailable()
         }
     }
 }
 
-/// Notes in the claim what became of the request. An unknown outcome leaves the claim held.
+/// Completes or releases the claim by the outcome of the request. An unknown outcome leaves the
+/// claim held, as the request may have run.
 pub fn settle(duty: &GatewayDuty, request: &AcceptedRequest, outcome: Outcome, status: u16) {
     let intent = match outcome {
         Outcome::Answered => Intent::Complete { status },
         Outcome::NotRun(_) => Intent::Release,
         Outcome::Unknown(_) => return,
     };
-    if let Some(wish) = wish(request, intent) {
-        duty.note_claim(wish);
+    if let Some(claim_request) = claim_request(request, intent) {
+        duty.settle_claim(claim_request);
     }
 }
--- a/crates/gateway/src/duty/inspect.rs
+++ b/crates/gateway/src/duty/inspect.rs
@@ -1,4 +1,4 @@
-//! What the gateway tells operators.
+//! Readiness, status and request history for the admin interface.
 
 use super::GatewayDuty;
 use mastbay_grants::Demand;
--- a/crates/gateway/src/duty/messages.rs
+++ b/crates/gateway/src/duty/messages.rs
@@ -1,6 +1,6 @@
-//! What the gateway does with messages, and with changes of members and configuration.
+//! Handlers of messages and of changes of membership and configuration.
 
-use super::{GatewayDuty, in_order, settle_claim};
+use super::{GatewayDuty, deliver_claim_answer, rendezvous_order};
 use crate::access::AccessTable;
 use crate::admission::Admission;
 use mastbay_claims::ClaimMessage;
@@ -26,8 +26,8 @@
         for assignment in assignments {
             let id = assignment.request;
             let waiter = state.waiters.remove(&id);
-            let taken = waiter.is_some_and(|waiter| waiter.sender.try_send(assignment).is_ok());
-            if !taken && let Some(demand) = state.demands.get_mut(&cell) {
+            let delivered = waiter.is_some_and(|waiter| waiter.sender.try_send(assignment).is_ok());
+            if !delivered && let Some(demand) = state.demands.get_mut(&cell) {
                 demand.finish(id, Cost::ZERO, false);
             }
         }
@@ -43,7 +43,7 @@
             Message::Claim(ClaimMessage::Answer(answer)) => {
                 let mut state = self.lock();
                 if let Some(answer) = state.claims.handle_answer(answer) {
-                    settle_claim(&mut state, answer);
+                    deliver_claim_answer(&mut state, answer);
                 }
             }
             // Meant for schedulers, or handled by the node itself.
@@ -59,7 +59,7 @@
         let schedulers = self.node.live(Role::Scheduler);
         let mut state = self.lock();
         for (cell, demand) in &mut state.demands {
-            demand.set_schedulers(in_order(cell, &schedulers));
+            demand.set_schedulers(rendezvous_order(cell, &schedulers));
         }
         state.claims.set_keepers(schedulers.clone());
         state.schedulers = schedulers;
--- a/crates/gateway/src/duty/mod.rs
+++ b/crates/gateway/src/duty/mod.rs
@@ -1,10 +1,10 @@
-//! The gateway's state and what it does with messages and time.
+//! The state of the gateway, its timers and its messages to schedulers.
 
 mod inspect;
 mod messages;
 
 use crate::admission::Admission;
-use crate::journal::{Happening, Journal};
+use crate::journal::{Journal, RequestEvent};
 use crate::metrics::{GatewayMetrics, RequestLabels, ServiceLabels};
 use crate::request::AcceptedRequest;
 use crate::settings::GatewaySettings;
@@ -27,10 +27,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
 
-/// Idle connections kept for each back end.
-const MOST_IDLE: usize = 64;
-/// Longest sleep between two looks at the timers.
-const LONGEST_SLEEP: Duration = Duration::from_millis(200);
+/// Maximum number of idle connections per back end.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+/// Maximum time between two runs of the timers.
+const MAX_SLEEP: Duration = Duration::from_millis(200);
 
 struct State {
     admission: Option<Admission>,
@@ -40,29 +40,29 @@
     claim_waiters: HashMap<RequestId, Sender<Verdict>>,
     budgets: HashMap<ServiceName, RetryBudget>,
     journal: Journal,
-    /// Schedulers alive, before each cell's own order.
+    /// Live schedulers; each cell orders them by rendezvous hashing.
     schedulers: Vec<ProcessId>,
 }
 
-/// A request that waits for its grant.
+/// A request waiting for its grant.
 struct Waiter {
     cell: CellId,
     sender: Sender<Assignment>,
 }
 
-/// The gateway's duty.
+/// The state of a gateway, shared by all its requests.
 pub struct GatewayDuty {
     node: Arc<Node>,
     settings: GatewaySettings,
     metrics: GatewayMetrics,
     connections: IdleConnections,
-    callers: OnceLock<Stopper>,
+    caller_server: OnceLock<Stopper>,
     state: Mutex<State>,
     wake: Wake,
 }
 
 impl GatewayDuty {
-    /// A gateway without requests.
+    /// Creates a gateway without requests or configuration.
     pub fn new(node: Arc<Node>, settings: GatewaySettings, metrics: GatewayMetrics) -> Arc<Self> {
         let state = State {
             admission: None,
@@ -71,47 +71,48 @@
             claims: ClaimClient::new(ClaimClientConfig::default()),
             claim_waiters: HashMap::new(),
             budgets: HashMap::new(),
-            journal: Journal::new(settings.journal),
+            journal: Journal::new(settings.journal_capacity),
             schedulers: Vec::new(),
         };
         Arc::new(Self {
             node,
             settings,
             metrics,
-            connections: IdleConnections::new(MOST_IDLE),
-            callers: OnceLock::new(),
+            connections: IdleConnections::new(MAX_IDLE_CONNECTIONS),
+            caller_server: OnceLock::new(),
             state: Mutex::new(state),
             wake: Wake::default(),
         })
     }
 
-    /// The process as a member.
+    /// Returns this process as a member of the fleet.
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
 
-    /// The gateway's settings.
+    /// Returns the settings of the section `[gateway]`.
     pub fn settings(&self) -> &GatewaySettings {
         &self.settings
     }
 
-    /// The gateway's metrics.
+    /// Returns the metrics of this process.
     pub fn metrics(&self) -> &GatewayMetrics {
         &self.metrics
     }
 
-    /// Connections to back ends.
+    /// Returns the pool of idle connections to back ends.
     pub fn connections(&self) -> &IdleConnections {
         &self.connections
     }
 
-    /// Sets the handle of the server that callers connect to, for its counts.
-    pub fn set_callers(&self, stopper: Stopper) {
-        // Set once, at the start.
-        let _ = self.callers.set(stopper);
+    /// Sets the handle of the server for callers, whose counts are published as metrics.
+    pub fn set_caller_server(&self, stopper: Stopper) {
+        // Called once, at startup.
+        let _ = self.caller_server.set(stopper);
     }
 
-    /// What requests are checked against, once a configuration is in force and fresh enough.
+    /// Returns the configuration to check requests against; `None` while the process is not ready.
+    /// A stopping process still accepts requests.
     pub fn admission(&self) -> Option<Admission> {
         match self.node.ready() {
             Ok(()) | Err(NotReady::Stopping) => self.lock().admission.clone(),
@@ -119,34 +120,34 @@
         }
     }
 
-    /// A back end's declaration in force.
+    /// Returns the current configuration of a back end.
     pub fn backend(&self, name: &BackendName) -> Option<Backend> {
         self.lock().admission.as_ref()?.configuration.backends.get(name).cloned()
     }
 
-    /// Puts a request in its tenant's queue. The receiver gets its grant; it closes if the service
-    /// is taken away.
+    /// Puts a request in its tenant's queue, unless that is full. The receiver gets the grant; it
+    /// is closed if the service is removed from the configuration or the gateway stops.
     pub fn enqueue(&self, request: &AcceptedRequest) -> Result<Receiver<Assignment>, NotRunReason> {
         let mut state = self.lock();
-        let most_waiting = state
+        let max_waiting = state
             .admission
             .as_ref()
             .and_then(|admission| admission.configuration.tenants.get(&request.tenant))
             .map_or(0, |tenant| tenant.most_waiting as usize);
         let demand = self.demand(&mut state, &request.cell);
-        if demand.waiting(&request.tenant) >= most_waiting {
+        if demand.waiting(&request.tenant) >= max_waiting {
             return Err(NotRunReason::QueueFull);
         }
-        demand.enqueue(&request.tenant, request.name.id);
+        demand.enqueue(&request.tenant, request.identity.id);
         let budget = state.budgets.entry(request.cell.service.clone()).or_default();
         budget.note_request();
-        let receiver = add_waiter(&mut state, &request.cell, request.name.id);
+        let receiver = add_waiter(&mut state, &request.cell, request.identity.id);
         drop(state);
         self.flush();
         Ok(receiver)
     }
 
-    /// Puts a request that was granted, and is to be tried again, back at the head of its queue.
+    /// Puts a granted request back at the head of its queue for another attempt.
     pub fn requeue(&self, cell: &CellId, id: RequestId) -> Receiver<Assignment> {
         self.metrics.retries.inc();
         let mut state = self.lock();
@@ -159,8 +160,8 @@
         receiver
     }
 
-    /// Takes a request out of its queue, or ends it where it was granted meanwhile.
-    pub fn give_up(&self, cell: &CellId, tenant: &TenantName, id: RequestId) {
+    /// Removes a request from its queue, or releases its slot if it was already granted.
+    pub fn cancel(&self, cell: &CellId, tenant: &TenantName, id: RequestId) {
         let mut state = self.lock();
         state.waiters.remove(&id);
         if let Some(demand) = state.demands.get_mut(cell)
@@ -172,7 +173,7 @@
         self.flush();
     }
 
-    /// Adds service that a running request has just received.
+    /// Adds service that a running request received since the last call.
     pub fn progress(&self, cell: &CellId, tenant: &TenantName, id: RequestId, more: Cost) {
         self.count_service(cell, tenant, more);
         if let Some(demand) = self.lock().demands.get_mut(cell) {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Ends a running request that cost `total`, of which `counted` was counted as progress.
+    /// Ends a running request and counts the part of its cost not yet counted as progress.
     pub fn finish(&self, cell: &CellId, tenant: &TenantName, id: RequestId, cost: FinalCost) {
         self.count_service(cell, tenant, cost.total.minus(cost.counted));
         if let Some(demand) = self.lock().demands.get_mut(cell) {
@@ -195,14 +196,14 @@
         counter.inc_by(u64::try_from(more.0).unwrap_or(0));
     }
 
-    /// Notes that a back end could not be reached.
-    pub fn note_unreachable(&self, cell: &CellId, backend: &BackendName) {
+    /// Records that a connection to a back end failed.
+    pub fn record_unreachable(&self, cell: &CellId, backend: &BackendName) {
         if let Some(demand) = self.lock().demands.get_mut(cell) {
             demand.note_unreachable(backend);
         }
     }
 
-    /// Lets `decide` use the retry budget of a service.
+    /// Runs `decide` on the retry budget of a service.
     pub fn with_budget<T>(
         &self,
         service: &ServiceName,
@@ -211,50 +212,50 @@
         decide(self.lock().budgets.entry(service.clone()).or_default())
     }
 
-    /// Asks for a claim. The receiver gets the verdict.
-    pub fn take_claim(&self, wish: ClaimRequest) -> Receiver<Verdict> {
+    /// Requests a claim. The receiver gets the answer.
+    pub fn take_claim(&self, claim_request: ClaimRequest) -> Receiver<Verdict> {
         let (sender, receiver) = smol::channel::bounded(1);
         let mut state = self.lock();
-        state.claim_waiters.insert(wish.request, sender);
-        state.claims.wish(self.node.now(), wish);
+        state.claim_waiters.insert(claim_request.request, sender);
+        state.claims.wish(self.node.now(), claim_request);
         drop(state);
         self.flush();
         receiver
     }
 
-    /// Stops to wait for a claim. A write under way may yet take effect.
-    pub fn forget_claim(&self, wish: &ClaimRequest) {
+    /// Stops waiting for a claim. A write in flight may still take effect.
+    pub fn abandon_claim(&self, claim_request: &ClaimRequest) {
         let mut state = self.lock();
-        state.claim_waiters.remove(&wish.request);
-        state.claims.forget(wish);
+        state.claim_waiters.remove(&claim_request.request);
+        state.claims.forget(claim_request);
     }
 
-    /// Notes in the claim what became of its request.
-    pub fn note_claim(&self, wish: ClaimRequest) {
+    /// Sends the settlement of a claim to its keeper.
+    pub fn settle_claim(&self, claim_request: ClaimRequest) {
         let now = self.node.now();
-        self.lock().claims.wish(now, wish);
+        self.lock().claims.wish(now, claim_request);
         self.flush();
     }
 
-    /// Whether claims still have to be settled.
-    pub fn has_claims_under_way(&self) -> bool {
+    /// Whether requests for claims are still pending.
+    pub fn has_pending_claims(&self) -> bool {
         self.lock().claims.next_timeout() != Timestamp::NEVER
     }
 
-    /// Begins the account of a request.
-    pub fn begin_account(&self, request: &AcceptedRequest) {
+    /// Adds a request to the journal.
+    pub fn begin_journal_entry(&self, request: &AcceptedRequest) {
         let now = self.node.now();
         let mut state = self.lock();
-        state.journal.begin(request.name.id, &request.tenant, &request.cell, now);
+        state.journal.begin(request.identity.id, &request.tenant, &request.cell, now);
     }
 
-    /// Adds to the account of a request.
-    pub fn note(&self, id: RequestId, happening: Happening) {
+    /// Records an event of a request in the journal.
+    pub fn record_event(&self, id: RequestId, event: RequestEvent) {
         let now = self.node.now();
-        self.lock().journal.note(id, now, happening);
+        self.lock().journal.record(id, now, event);
     }
 
-    /// Counts a request that ended.
+    /// Counts a finished request. `service` and `tenant` are empty before admission.
     pub fn count_outcome(&self, service: &str, tenant: &str, outcome: Outcome) {
         let labels = RequestLabels {
             service: service.to_owned(),
@@ -265,12 +266,12 @@
         self.metrics.requests.get_or_create_owned(&labels).inc();
     }
 
-    /// Tells every request that waits that it will not be run.
+    /// Closes the grant channel of every waiting request; they end as not run.
     pub fn drop_waiters(&self) {
         self.lock().waiters.clear();
     }
 
-    /// Sends whatever is due to schedulers.
+    /// Sends the reports and claim requests that are due to schedulers.
     pub fn flush(&self) {
         let now = self.node.now();
         let mut outgoing = Vec::new();
@@ -280,13 +281,13 @@
                 outgoing.push((to, Message::Report(report)));
             }
         }
-        let (wishes, given_up) = state.claims.poll(now);
-        for answer in given_up {
-            settle_claim(&mut state, answer);
+        let (claim_requests, timed_out) = state.claims.poll(now);
+        for answer in timed_out {
+            deliver_claim_answer(&mut state, answer);
         }
         drop(state);
-        for (to, wish) in wishes {
-            outgoing.push((to, Message::Claim(ClaimMessage::Wish(wish))));
+        for (to, claim_request) in claim_requests {
+            outgoing.push((to, Message::Claim(ClaimMessage::Wish(claim_request))));
         }
         for (to, message) in outgoing {
             self.node.send(&to, message);
@@ -294,14 +295,14 @@
         self.wake.wake();
     }
 
-    /// Runs the timers for ever.
+    /// Runs the timers until the process ends.
     pub async fn run(self: Arc<Self>) {
         loop {
             self.flush();
-            // `flush` wakes the loop for its callers' sake; that wake-up is used up here.
+            // `flush` wakes this loop when others call it; its own wake-up is cleared.
             self.wake.clear();
             self.publish();
-            let sleep = self.next_timeout().since(self.node.now()).min(LONGEST_SLEEP);
+            let sleep = self.next_timeout().since(self.node.now()).min(MAX_SLEEP);
             self.wake.sleep(sleep).await;
         }
     }
@@ -320,12 +321,12 @@
         };
         self.metrics.waiting.set(total(Demand::waiting_in_total));
         self.metrics.running.set(total(Demand::running_in_total));
-        if let Some(callers) = self.callers.get() {
+        if let Some(server) = self.caller_server.get() {
             let store = |counter: &prometheus_client::metrics::counter::Counter, value| {
                 counter.inner().store(value, std::sync::atomic::Ordering::Relaxed);
             };
-            store(&self.metrics.refused_connections, callers.refused_connections());
-            store(&self.metrics.malformed_requests, callers.malformed_requests());
+            store(&self.metrics.refused_connections, server.refused_connections());
+            store(&self.metrics.malformed_requests, server.malformed_requests());
         }
     }
 
@@ -334,7 +335,7 @@
         demands.entry(cell.clone()).or_insert_with(|| {
             let incarnation = self.node.incarnation();
             let mut demand = Demand::new(cell.clone(), DemandConfig::default(), incarnation);
-            demand.set_schedulers(in_order(cell, schedulers));
+            demand.set_schedulers(rendezvous_order(cell, schedulers));
             demand
         })
     }
@@ -344,14 +345,14 @@
     }
 }
 
-/// What a request cost in the end.
+/// The final cost of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct FinalCost {
-    /// In all.
+    /// Total cost.
     pub total: Cost,
-    /// Of that, counted before as progress.
+    /// Part of the total already counted as progress.
     pub counted: Cost,
-    /// Whether it tells something of what such requests cost.
+    /// Whether the cost may be used to estimate that of similar requests.
     pub typical: bool,
 }
 
@@ -361,17 +362,17 @@
     receiver
 }
 
-fn settle_claim(state: &mut State, answer: ClaimAnswer) {
+fn deliver_claim_answer(state: &mut State, answer: ClaimAnswer) {
     if answer.wish.intent != Intent::Take {
         return;
     }
     if let Some(waiter) = state.claim_waiters.remove(&answer.wish.request) {
-        // A request that no longer waits has settled its claim itself.
+        // Fails only if the request no longer waits for the answer.
         let _ = waiter.try_send(answer.verdict);
     }
 }
 
-/// Schedulers in a cell's own order.
-fn in_order(cell: &CellId, schedulers: &[ProcessId]) -> Vec<ProcessId> {
+/// Returns the schedulers in the rendezvous order of a cell.
+fn rendezvous_order(cell: &CellId, schedulers: &[ProcessId]) -> Vec<ProcessId> {
     by_rendezvous(&cell.rendezvous_key(), schedulers).into_iter().cloned().collect()
 }
--- a/crates/gateway/src/event_stream.rs
+++ b/crates/gateway/src/event_stream.rs
@@ -1,20 +1,20 @@
-//! What the gateway needs to know of a server-sent event stream: how much service it carried,
-//! whether it is whole, and where one event ends, so that a broken stream can be gone on with.
+//! Incremental parser of server-sent event streams. It measures the service, detects the end of the
+//! stream and splits it at event boundaries, where a broken stream can be resumed.
 
 use mastbay_types::Cost;
 use serde::Deserialize;
 
-/// The data of the event that ends a whole stream.
-const END: &[u8] = b"[DONE]";
-/// Largest event held while its end has not come, in bytes.
-const LARGEST_EVENT: usize = 1 << 20;
+/// Data of the event that ends a complete stream.
+const END_MARKER: &[u8] = b"[DONE]";
+/// Maximum size of a buffered incomplete event, in bytes.
+const MAX_EVENT_SIZE: usize = 1 << 20;
 
-/// Follows a stream through its chunks, however they are cut.
+/// Parses a stream from chunks cut at any position.
 #[derive(Debug, Default)]
 pub struct StreamMeter {
     partial: Vec<u8>,
     events: u64,
-    whole: bool,
+    complete_stream: bool,
     usage: Option<u64>,
 }
 
@@ -29,8 +29,8 @@
 }
 
 impl StreamMeter {
-    /// Takes a chunk and returns the events that it completes, byte for byte.
-    pub fn take(&mut self, chunk: &[u8]) -> Vec<u8> {
+    /// Adds a chunk and returns the bytes of the events that it completes, unchanged.
+    pub fn push(&mut self, chunk: &[u8]) -> Vec<u8> {
         self.partial.extend_from_slice(chunk);
         let rest = self.partial.split_off(end_of_last_event(&self.partial));
         let complete = std::mem::replace(&mut self.partial, rest);
@@ -40,27 +40,28 @@
         complete
     }
 
-    /// Events that carried data, without the one that ends the stream.
+    /// Returns the number of data lines so far, without the one that ends the stream.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Whether the event that ends a stream has come.
-    pub fn is_whole(&self) -> bool {
-        self.whole
+    /// Whether the event that ends the stream has arrived.
+    pub fn is_complete(&self) -> bool {
+        self.complete_stream
     }
 
-    /// Whether an event is larger than the gateway holds.
-    pub fn is_overfull(&self) -> bool {
-        self.partial.len() > LARGEST_EVENT
+    /// Whether the incomplete event exceeds the maximum size.
+    pub fn is_oversized(&self) -> bool {
+        self.partial.len() > MAX_EVENT_SIZE
     }
 
-    /// Drops the beginning of an event whose rest did not come.
+    /// Discards the buffered incomplete event.
     pub fn drop_partial_event(&mut self) {
         self.partial.clear();
     }
 
-    /// The service of the stream so far: as the server told it, or a token for each event.
+    /// Returns the service of the stream so far in tokens: the usage that the server reported, or
+    /// one token per event.
     pub fn service(&self) -> Cost {
         let tokens = self.usage.unwrap_or(self.events);
         Cost(i64::try_from(tokens).unwrap_or(i64::MAX))
@@ -71,8 +72,8 @@
             return;
         };
         let data = data.trim_ascii();
-        if data == END {
-            self.whole = true;
+        if data == END_MARKER {
+            self.complete_stream = true;
             return;
         }
         self.events += 1;
@@ -84,7 +85,7 @@
     }
 }
 
-/// Where the last whole event of `text` ends: after an empty line.
+/// Returns the offset after the empty line that ends the last complete event, 0 if there is none.
 fn end_of_last_event(text: &[u8]) -> usize {
     let ends_at = |end: usize| {
         let before = &text[..end];
@@ -97,8 +98,8 @@
     text.windows(pattern.len()).any(|window| window == pattern)
 }
 
-/// The service of an answer that is not a stream, if it tells its usage.
-pub fn usage_of(body: &[u8]) -> Option<Cost> {
+/// Returns the service of an answer that is not streamed, if its body reports the usage.
+pub fn reported_usage(body: &[u8]) -> Option<Cost> {
     let event: UsageEvent = serde_json::from_slice(body).ok()?;
     event.usage.map(|usage| Cost(i64::try_from(usage.total_tokens).unwrap_or(i64::MAX)))
 }
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -1,4 +1,4 @@
-//! What happened to recent requests, for `mastbayctl explain`.
+//! History of recent requests, for `mastbayctl explain`.
 
 use derive_more::Display;
 use mastbay_attempts::{Failure, Outcome};
@@ -6,33 +6,33 @@
 use serde_json::{Value, json};
 use std::collections::{HashMap, VecDeque};
 
-/// Something that happened to a request.
+/// An event in the history of a request.
 #[derive(Debug, Clone, Display)]
-pub enum Happening {
-    /// Its claim is being taken.
+pub enum RequestEvent {
+    /// The request asks for its claim.
     #[display("claiming")]
     Claiming,
-    /// It waits for a grant.
+    /// The request waits for a grant.
     #[display("queued")]
     Queued,
-    /// It was granted a back end.
+    /// A slot of this back end was granted.
     #[display("granted {_0}")]
     Granted(BackendName),
-    /// It is about to be sent.
+    /// An attempt begins.
     #[display("sending")]
     Sending,
-    /// Its answer has begun.
+    /// The head of the answer arrived.
     #[display("answer begun")]
     AnswerBegun,
-    /// A try failed.
+    /// An attempt, or the wait for a grant, failed.
     #[display("try failed: {_0}")]
     Failed(Failure),
-    /// Its stream broke and is gone on with.
+    /// The stream broke and was resumed after this number of events.
     #[display("stream resumed after {_0} events")]
     Resumed(u64),
-    /// It has its outcome.
+    /// The request ended with this outcome.
     #[display("{_0} ({})", _0.code())]
-    Over(Outcome),
+    Finished(Outcome),
 }
 
 #[derive(Debug)]
@@ -40,10 +40,10 @@
     tenant: TenantName,
     cell: CellId,
     accepted: Timestamp,
-    happenings: Vec<(Timestamp, Happening)>,
+    events: Vec<(Timestamp, RequestEvent)>,
 }
 
-/// The last requests of this gateway.
+/// The history of the last requests accepted by this gateway.
 #[derive(Debug)]
 pub struct Journal {
     capacity: usize,
@@ -52,12 +52,12 @@
 }
 
 impl Journal {
-    /// A journal of the last `capacity` requests.
+    /// Creates a journal of the last `capacity` requests; 0 turns it off.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, order: VecDeque::new(), entries: HashMap::new() }
     }
 
-    /// Begins the account of a request.
+    /// Adds a request and evicts the oldest ones beyond the capacity.
     pub fn begin(&mut self, id: RequestId, tenant: &TenantName, cell: &CellId, now: Timestamp) {
         if self.capacity == 0 {
             return;
@@ -68,33 +68,33 @@
         }
         self.order.push_back(id);
         let (tenant, cell) = (tenant.clone(), cell.clone());
-        let entry = Entry { tenant, cell, accepted: now, happenings: Vec::new() };
+        let entry = Entry { tenant, cell, accepted: now, events: Vec::new() };
         self.entries.insert(id, entry);
     }
 
-    /// Adds to the account of a request.
-    pub fn note(&mut self, id: RequestId, now: Timestamp, happening: Happening) {
+    /// Records an event. Does nothing if the request is not in the journal.
+    pub fn record(&mut self, id: RequestId, now: Timestamp, event: RequestEvent) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.happenings.push((now, happening));
+            entry.events.push((now, event));
         }
     }
 
-    /// The account of a request.
+    /// Returns the history of a request as JSON; `None` if it is not in the journal.
     pub fn explain(&self, id: RequestId) -> Option<Value> {
         let entry = self.entries.get(&id)?;
-        let happenings: Vec<Value> = entry
-            .happenings
+        let events: Vec<Value> = entry
+            .events
             .iter()
-            .map(|(at, happening)| {
+            .map(|(at, event)| {
                 let millis = at.since(entry.accepted).as_secs_f64() * 1e3;
-                json!({ "after_ms": millis, "what": happening.to_string() })
+                json!({ "after_ms": millis, "what": event.to_string() })
             })
             .collect();
         Some(json!({
             "request": id.to_string(),
             "tenant": entry.tenant,
             "cell": entry.cell.to_string(),
-            "happenings": happenings,
+            "happenings": events,
         }))
     }
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,6 +1,6 @@
-//! `mastbay-gateway`: holds callers' requests until a scheduler grants them a back end, sends them
-//! there and brings the whole answer back. What may be sent, and what a caller is told, is decided
-//! here alone.
+//! `mastbay-gateway`: queues callers' requests until a scheduler grants a back end, sends them
+//! there and relays the answers. Only the gateway decides on retries and on the outcome reported to
+//! a caller.
 
 use mastbay_node::report_and_exit_code;
 use std::path::PathBuf;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a gateway.
+//! Prometheus metrics of a gateway.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -7,12 +7,12 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Labels of requests that ended.
+/// Labels of the counter of finished requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// The service, empty where none was found.
+    /// The service; empty if the request was rejected before admission.
     pub service: String,
-    /// The tenant, empty where none was recognised.
+    /// The tenant; empty if the request was rejected before admission.
     pub tenant: String,
     /// `answered`, `not-run` or `unknown`.
     pub outcome: String,
@@ -20,40 +20,40 @@
     pub code: &'static str,
 }
 
-/// Labels of service received.
+/// Labels of the counter of service received.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabels {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
 }
 
-/// Metrics of a gateway.
+/// Counters, gauges and histograms of a gateway process.
 #[derive(Debug)]
 pub struct GatewayMetrics {
-    /// Requests that ended.
+    /// Finished requests, including rejected ones.
     pub requests: Family<RequestLabels, Counter>,
     /// Service received, in the service's cost unit.
     pub service: Family<ServiceLabels, Counter>,
-    /// Seconds that requests waited for a grant.
+    /// Time that requests waited for a grant, in seconds.
     pub waits: Histogram,
-    /// Requests that wait.
+    /// Requests waiting for a grant.
     pub waiting: Gauge,
-    /// Requests that run.
+    /// Requests with a granted slot.
     pub running: Gauge,
-    /// Times that a request was given to another back end, or to the same one again.
+    /// Requests queued again after a failed attempt.
     pub retries: Counter,
-    /// Streams gone on with after a break.
+    /// Streams resumed after a broken connection.
     pub resumed_streams: Counter,
-    /// Callers' connections refused since too many were open.
+    /// Connections of callers refused at the limit of open connections.
     pub refused_connections: Counter,
-    /// Callers' connections ended for a malformed or oversized head.
+    /// Connections of callers closed for a malformed or oversized head.
     pub malformed_requests: Counter,
 }
 
 impl GatewayMetrics {
-    /// Metrics registered under the prefix `mastbay_gateway`.
+    /// Creates the metrics and registers them under the prefix `mastbay_gateway`.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self {
             requests: Family::default(),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,11 +1,11 @@
-//! Brings a stream to its caller, event by event, and goes on with it at the same back end if the
-//! connection breaks and the back end can resume.
+//! Relays a streamed answer to its caller in complete events, and resumes it at the same back end
+//! if the connection breaks and the back end supports that.
 
 use crate::answer::ErrorBody;
 use crate::attempt::{OpenStream, time_left};
 use crate::duty::GatewayDuty;
 use crate::event_stream::StreamMeter;
-use crate::journal::Happening;
+use crate::journal::RequestEvent;
 use crate::request::AcceptedRequest;
 use crate::ticket::Ticket;
 use bytes::Bytes;
@@ -20,17 +20,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A back end that can resume a stream says so with this header.
+/// Header of a streamed answer that the back end can resume.
 const RESUMABLE: HeaderName = HeaderName::from_static("mastbay-resumable");
-/// Times that one stream is resumed.
-const MOST_RESUMES: u32 = 3;
-/// Time for a back end to take a stream up again, or to cancel it.
-const RESUME_LIMIT: Duration = Duration::from_secs(2);
+/// Maximum number of attempts to resume one stream.
+const MAX_RESUMES: u32 = 3;
+/// Timeout of a request to resume or cancel a stream.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Chunks on their way to the caller.
+/// Sends the chunks of a streamed body to the caller.
 pub type ChunkSender = Sender<Result<Bytes, BodyError>>;
 
-/// A stream under way.
+/// Relays one stream from a back end to a caller.
 pub struct Relay<'a> {
     duty: &'a GatewayDuty,
     request: &'a AcceptedRequest,
@@ -43,7 +43,7 @@
 }
 
 impl<'a> Relay<'a> {
-    /// A stream whose head has come.
+    /// Creates the relay for a stream whose head was received.
     pub fn new(
         duty: &'a GatewayDuty,
         request: &'a AcceptedRequest,
@@ -63,11 +63,11 @@
         }
     }
 
-    /// Carries the stream to its end. Returns the service that it carried.
-    pub async fn carry(mut self, stream: OpenStream) -> (Cost, Result<(), Failure>) {
+    /// Relays the stream to its end. Returns the service received, also after a failure.
+    pub async fn run(mut self, stream: OpenStream) -> (Cost, Result<(), Failure>) {
         let OpenStream { mut body, mut connection, .. } = stream;
         let result = loop {
-            match self.pump(&mut body).await {
+            match self.forward_body(&mut body).await {
                 Ok(()) => {
                     self.duty.connections().keep(self.source, connection);
                     break Ok(());
@@ -88,36 +88,36 @@
         (self.meter.service(), result)
     }
 
-    /// Tells the caller that its stream broke off: an event, then an end that is visibly broken.
-    pub async fn break_off(caller: &ChunkSender, request: &AcceptedRequest, outcome: Outcome) {
-        let body = serde_json::to_string(&ErrorBody::new(&request.name, outcome));
+    /// Aborts the stream to the caller: sends an error event, then breaks the body.
+    pub async fn abort(caller: &ChunkSender, request: &AcceptedRequest, outcome: Outcome) {
+        let body = serde_json::to_string(&ErrorBody::new(&request.identity, outcome));
         let event = format!("event: error\ndata: {}\n\n", body.unwrap_or_default());
-        // A caller that is gone needs no telling.
+        // Sending fails only if the caller has disconnected.
         let _ = caller.send(Ok(Bytes::from(event))).await;
         let _ = caller.send(Err(BodyError)).await;
     }
 
-    /// Brings chunks to the caller until the body ends.
-    async fn pump(&mut self, body: &mut Incoming) -> Result<(), Failure> {
+    /// Forwards chunks to the caller until the body ends.
+    async fn forward_body(&mut self, body: &mut Incoming) -> Result<(), Failure> {
         loop {
             let limit = time_left(self.duty, self.request.deadline);
             let frame = within(limit, body.frame()).await.map_err(|_| Failure::Deadline)?;
             match frame {
                 Some(Ok(frame)) => {
                     if let Ok(chunk) = frame.into_data() {
-                        self.pass_on(&chunk).await?;
+                        self.forward_chunk(&chunk).await?;
                     }
                 }
-                None if self.meter.is_whole() => return Ok(()),
+                None if self.meter.is_complete() => return Ok(()),
                 Some(Err(_)) | None => return Err(Failure::Broken),
             }
         }
     }
 
-    async fn pass_on(&mut self, chunk: &[u8]) -> Result<(), Failure> {
+    async fn forward_chunk(&mut self, chunk: &[u8]) -> Result<(), Failure> {
         let before = self.meter.events();
-        let complete = self.meter.take(chunk);
-        if self.meter.is_overfull() {
+        let complete = self.meter.push(chunk);
+        if self.meter.is_oversized() {
             return Err(Failure::Broken);
         }
         if complete.is_empty() {
@@ -129,32 +129,32 @@
     }
 
     async fn resume(&mut self) -> Option<(Incoming, Connection)> {
-        if !self.resumable || self.resumes >= MOST_RESUMES {
+        if !self.resumable || self.resumes >= MAX_RESUMES {
             return None;
         }
         self.resumes += 1;
         self.meter.drop_partial_event();
         let events = self.meter.events();
-        let target = format!("/v1/streams/{}?after={events}", self.request.name.id);
-        let (response, connection) = self.call(Method::GET, &target).await?;
+        let target = format!("/v1/streams/{}?after={events}", self.request.identity.id);
+        let (response, connection) = self.send_stream_request(Method::GET, &target).await?;
         if response.status() != StatusCode::OK {
             return None;
         }
-        self.duty.note(self.request.name.id, Happening::Resumed(events));
+        self.duty.record_event(self.request.identity.id, RequestEvent::Resumed(events));
         self.duty.metrics().resumed_streams.inc();
-        tracing::info!(event = "stream_resumed", request = %self.request.name.id, events);
+        tracing::info!(event = "stream_resumed", request = %self.request.identity.id, events);
         Some((response.into_body(), connection))
     }
 
-    /// Tells a back end that would keep the stream for a resume that nobody wants it any more.
+    /// Asks a back end that keeps the stream for a resume to drop it.
     async fn cancel(&self) {
         if self.resumable {
-            let target = format!("/v1/streams/{}", self.request.name.id);
-            self.call(Method::DELETE, &target).await;
+            let target = format!("/v1/streams/{}", self.request.identity.id);
+            self.send_stream_request(Method::DELETE, &target).await;
         }
     }
 
-    async fn call(
+    async fn send_stream_request(
         &self,
         method: Method,
         target: &str,
@@ -166,11 +166,11 @@
             .body(Full::default())
             .ok()?;
         let exchange = async {
-            let limit = self.duty.settings().connect_limit;
-            let mut connection = Connection::open(self.source, limit).await.ok()?;
+            let timeout = self.duty.settings().connect_timeout;
+            let mut connection = Connection::open(self.source, timeout).await.ok()?;
             let response = connection.exchange(request).await.ok()?;
             Some((response, connection))
         };
-        within(RESUME_LIMIT, exchange).await.ok()?
+        within(RESUME_TIMEOUT, exchange).await.ok()?
     }
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as accepted from a caller.
+//! Requests accepted from callers, and the HTTP headers of the gateway.
 
 use bytes::Bytes;
 use hyper::Method;
@@ -8,49 +8,49 @@
 use mastbay_telemetry::TraceContext;
 use mastbay_types::{CellId, RequestId, TenantName, Timestamp};
 
-/// Header that carries the request's identifier, to back ends and back to callers.
+/// Header with the request's identifier, sent to back ends and returned to callers.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("mastbay-request-id");
-/// Header that tells a caller what became of its request.
+/// Header of an answer with the outcome of the request.
 pub const OUTCOME: HeaderName = HeaderName::from_static("mastbay-outcome");
-/// Header with the time that a caller gives its request, in milliseconds.
+/// Header with the caller's timeout for the request, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("mastbay-deadline-ms");
-/// Header that names the tenant to a back end.
+/// Header with the name of the tenant, sent to back ends.
 pub const TENANT: HeaderName = HeaderName::from_static("mastbay-tenant");
-/// Header with the caller's own identifier of an operation that must run once.
+/// Header with the key that a caller chooses for an operation that must run at most once.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Header of W3C trace context.
 pub const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 
-/// What names a request in logs, spans and answers, from its first byte on.
+/// Identifies a request in logs, spans and answers.
 #[derive(Debug, Clone, Copy)]
-pub struct RequestName {
-    /// Its identifier.
+pub struct RequestIdentity {
+    /// The identifier that the gateway generated.
     pub id: RequestId,
-    /// Its place in the caller's trace, or the root of a new one.
+    /// The caller's trace context, or the root of a new trace.
     pub trace: TraceContext,
 }
 
-/// A request that may be queued.
+/// A request that passed admission and may be queued.
 #[derive(Debug, Clone)]
 pub struct AcceptedRequest {
-    /// Its name.
-    pub name: RequestName,
-    /// Whose it is.
+    /// Identifier and trace context.
+    pub identity: RequestIdentity,
+    /// The tenant that is charged for the request.
     pub tenant: TenantName,
     /// The cell that runs it.
     pub cell: CellId,
-    /// What is declared for its service.
+    /// The configuration of the service at the time of admission.
     pub service: Service,
-    /// When it must be over.
+    /// When the request times out.
     pub deadline: Timestamp,
-    /// The claim that it needs.
+    /// The claim to take before sending; `None` if the request needs none.
     pub claim: Option<ClaimKey>,
-    /// Its method.
+    /// HTTP method sent to the back end.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query, as the caller sent them.
     pub target: String,
-    /// Its headers as they go to the back end.
+    /// Headers sent to the back end.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body, as the caller sent it.
     pub body: Bytes,
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,14 +1,14 @@
-//! Runs a request from accept to answer, by the steps that its [`Exchange`] decides.
+//! Runs a request from admission to its answer, in the steps that its [`Exchange`] decides.
 
 use crate::admission::Admission;
-use crate::answer::{error_answer, head_of_answer, whole_answer};
-use crate::attempt::{Brought, OpenStream, WholeAnswer, attempt, time_left};
+use crate::answer::{buffered_answer, build_answer, error_answer};
+use crate::attempt::{BackendAnswer, BufferedAnswer, OpenStream, attempt, time_left};
 use crate::claims;
 use crate::duty::GatewayDuty;
-use crate::event_stream::usage_of;
-use crate::journal::Happening;
+use crate::event_stream::reported_usage;
+use crate::journal::RequestEvent;
 use crate::relay::{ChunkSender, Relay};
-use crate::request::{AcceptedRequest, RequestName, TRACEPARENT};
+use crate::request::{AcceptedRequest, RequestIdentity, TRACEPARENT};
 use crate::ticket::Ticket;
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
@@ -25,64 +25,64 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Chunks of a stream that wait for a slow caller before the back end is made to wait.
-const CHUNKS_BUFFERED: usize = 16;
+/// Maximum number of chunks buffered for a slow caller before back-pressure reaches the back end.
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
 /// Serves one HTTP request of a caller.
 pub async fn serve(duty: Arc<GatewayDuty>, request: Request<Incoming>) -> Response<Body> {
-    let name = name_request(&duty, request.headers());
+    let identity = identify_request(&duty, request.headers());
     let Some(admission) = duty.admission() else {
-        return refuse(&duty, &name, NotRunReason::NotConfigured);
+        return refuse(&duty, &identity, NotRunReason::NotConfigured);
     };
-    let accepted = match accept(&duty, &admission, name, request).await {
+    let accepted = match accept(&duty, &admission, identity, request).await {
         Ok(accepted) => accepted,
-        Err(reason) => return refuse(&duty, &name, reason),
+        Err(reason) => return refuse(&duty, &identity, reason),
     };
-    duty.begin_account(&accepted);
+    duty.begin_journal_entry(&accepted);
     let (reply, answer) = smol::channel::bounded(1);
     let (guard, caller) = smol::channel::bounded::<Infallible>(1);
-    smol::spawn(Run::new(duty, accepted, reply, caller).finish()).detach();
+    smol::spawn(RequestTask::new(duty, accepted, reply, caller).run()).detach();
     let answer = answer.recv().await;
-    // Held until here: if the caller goes away, this future and the guard with it are dropped.
+    // If the caller disconnects, this future is dropped with the guard, which closes the channel.
     drop(guard);
     answer.unwrap_or_else(|_| {
         let outcome = Outcome::Unknown(mastbay_attempts::UnknownReason::BackendFailed);
-        error_answer(&name, outcome)
+        error_answer(&identity, outcome)
     })
 }
 
-fn name_request(duty: &GatewayDuty, headers: &HeaderMap) -> RequestName {
+fn identify_request(duty: &GatewayDuty, headers: &HeaderMap) -> RequestIdentity {
     let mut random = duty.node().random();
     let given = headers.get(TRACEPARENT).and_then(|value| value.to_str().ok()?.parse().ok());
     let trace = given.unwrap_or_else(|| TraceContext::new_root(&mut random));
-    RequestName { id: RequestId::generate(&mut random), trace }
+    RequestIdentity { id: RequestId::generate(&mut random), trace }
 }
 
-fn refuse(duty: &GatewayDuty, name: &RequestName, reason: NotRunReason) -> Response<Body> {
+fn refuse(duty: &GatewayDuty, identity: &RequestIdentity, reason: NotRunReason) -> Response<Body> {
     let outcome = Outcome::NotRun(reason);
     duty.count_outcome("", "", outcome);
-    tracing::info!(event = "request_refused", request = %name.id, code = reason.code());
-    error_answer(name, outcome)
+    tracing::info!(event = "request_refused", request = %identity.id, code = reason.code());
+    error_answer(identity, outcome)
 }
 
 async fn accept(
     duty: &GatewayDuty,
     admission: &Admission,
-    name: RequestName,
+    identity: RequestIdentity,
     request: Request<Incoming>,
 ) -> Result<AcceptedRequest, NotRunReason> {
     let (head, body) = request.into_parts();
-    let caller = admission.recognise(head)?;
+    let caller = admission.authenticate(head)?;
     let body =
         read_limited(body, duty.settings().body_limit).await.map_err(|error| match error {
             ReadBodyError::TooLarge { .. } => NotRunReason::BodyTooLarge,
             ReadBodyError::Broken => NotRunReason::BadRequest,
         })?;
-    admission.accept(name, caller, body, duty.node().now())
+    admission.accept(identity, caller, body, duty.node().now())
 }
 
-/// One request under way.
-struct Run {
+/// The task that runs one accepted request.
+struct RequestTask {
     duty: Arc<GatewayDuty>,
     request: AcceptedRequest,
     exchange: Exchange,
@@ -91,13 +91,13 @@
     reply: Sender<Response<Body>>,
     caller: Receiver<Infallible>,
     span: HopSpan,
-    answer: Option<WholeAnswer>,
+    answer: Option<BufferedAnswer>,
     status: StatusCode,
-    /// The caller's end of a stream that has begun.
+    /// Sender of the streamed body, once the head has been sent to the caller.
     stream: Option<ChunkSender>,
 }
 
-impl Run {
+impl RequestTask {
     fn new(
         duty: Arc<GatewayDuty>,
         request: AcceptedRequest,
@@ -109,9 +109,9 @@
             claim: request.claim.is_some(),
             claim_required: request.service.claims == mastbay_configuration::ClaimPolicy::Required,
             deadline: request.deadline,
-            most_tries: duty.settings().most_tries,
+            most_tries: duty.settings().max_attempts,
         };
-        let span = HopSpan::start("gateway", request.name.trace, &mut duty.node().random());
+        let span = HopSpan::start("gateway", request.identity.trace, &mut duty.node().random());
         Self {
             duty,
             request,
@@ -127,28 +127,28 @@
         }
     }
 
-    async fn finish(mut self) {
+    async fn run(mut self) {
         let mut step = self.exchange.start();
         let outcome = loop {
             step = match step {
                 Step::TakeClaim => {
-                    self.note(Happening::Claiming);
+                    self.record_event(RequestEvent::Claiming);
                     claims::take(&self.duty, &self.request, &mut self.exchange).await
                 }
                 Step::Queue => self.wait_for_grant().await,
-                Step::Connect => self.try_once().await,
+                Step::Connect => self.attempt_once().await,
                 Step::Finish(outcome) => break outcome,
             };
         };
         self.conclude(outcome).await;
     }
 
-    fn note(&self, happening: Happening) {
-        self.duty.note(self.request.name.id, happening);
+    fn record_event(&self, event: RequestEvent) {
+        self.duty.record_event(self.request.identity.id, event);
     }
 
-    fn failed(&mut self, failure: Failure) -> Step {
-        self.note(Happening::Failed(failure));
+    fn on_failure(&mut self, failure: Failure) -> Step {
+        self.record_event(RequestEvent::Failed(failure));
         let now = self.duty.node().now();
         let exchange = &mut self.exchange;
         self.duty
@@ -156,24 +156,25 @@
     }
 
     async fn wait_for_grant(&mut self) -> Step {
-        self.note(Happening::Queued);
-        let began = Instant::now();
+        self.record_event(RequestEvent::Queued);
+        let started = Instant::now();
         let granted = match self.queue() {
-            Ok(()) => self.granted().await,
+            Ok(()) => self.receive_grant().await,
             Err(reason) => return Step::Finish(Outcome::NotRun(reason)),
         };
-        self.duty.metrics().waits.observe(began.elapsed().as_secs_f64());
+        self.duty.metrics().waits.observe(started.elapsed().as_secs_f64());
         match granted {
             Ok(assignment) => {
-                self.note(Happening::Granted(assignment.backend.clone()));
+                self.record_event(RequestEvent::Granted(assignment.backend.clone()));
                 self.assignment = Some(assignment);
                 self.exchange.granted()
             }
-            Err(failure) => self.failed(failure),
+            Err(failure) => self.on_failure(failure),
         }
     }
 
-    /// Takes or returns to a place in the queue. A full queue is told at once.
+    /// Queues the request, or queues it again after a failed attempt. Fails at once if the queue is
+    /// full.
     fn queue(&mut self) -> Result<(), NotRunReason> {
         match &mut self.ticket {
             Some(ticket) => ticket.requeue(),
@@ -182,87 +183,86 @@
         Ok(())
     }
 
-    async fn granted(&self) -> Result<Assignment, Failure> {
+    async fn receive_grant(&self) -> Result<Assignment, Failure> {
         let Some(ticket) = &self.ticket else {
             return Err(Failure::Stopping);
         };
-        let granted = async { ticket.granted().await.map_err(|_| Failure::Stopping) };
-        let gone = async {
-            self.caller_gone().await;
+        let granted = async { ticket.receive_grant().await.map_err(|_| Failure::Stopping) };
+        let disconnected = async {
+            self.caller_disconnected().await;
             Err(Failure::CallerGone)
         };
         let limit = time_left(&self.duty, self.request.deadline);
-        within(limit, granted.or(gone)).await.unwrap_or(Err(Failure::Deadline))
+        within(limit, granted.or(disconnected)).await.unwrap_or(Err(Failure::Deadline))
     }
 
-    async fn caller_gone(&self) {
-        // Nothing is ever sent: the channel only closes.
+    async fn caller_disconnected(&self) {
+        // Nothing is ever sent on this channel; it closes when the caller disconnects.
         let _ = self.caller.recv().await;
     }
 
-    async fn try_once(&mut self) -> Step {
+    async fn attempt_once(&mut self) -> Step {
         let Some(assignment) = self.assignment.take() else {
-            return self.failed(Failure::Connect);
+            return self.on_failure(Failure::Connect);
         };
-        // Taken out of the configuration since it was granted.
+        // The back end may have been removed from the configuration since the grant.
         let Some(backend) = self.duty.backend(&assignment.backend) else {
-            return self.failed(Failure::Connect);
+            return self.on_failure(Failure::Connect);
         };
-        self.note(Happening::Sending);
-        let began = Instant::now();
+        self.record_event(RequestEvent::Sending);
+        let started = Instant::now();
         let span = HopSpan::start("backend", self.span.context(), &mut self.duty.node().random());
         let trace = span.context();
-        let brought = self.attempt_unless_caller_gone(backend.address, trace).await;
-        let result = match brought {
-            Ok(Brought::Whole(answer)) => {
-                self.take_whole(answer, began);
+        let answer = self.attempt_unless_disconnected(backend.address, trace).await;
+        let result = match answer {
+            Ok(BackendAnswer::Buffered(answer)) => {
+                self.accept_buffered(answer, started);
                 Ok(())
             }
-            Ok(Brought::Stream(stream)) => self.relay(stream).await,
+            Ok(BackendAnswer::Stream(stream)) => self.relay(stream).await,
             Err(failure) => Err(failure),
         };
-        let id = self.request.name.id.to_string();
+        let id = self.request.identity.id.to_string();
         span.finish(&id, &result.map_or_else(|failure| failure.to_string(), |()| "ok".to_owned()));
         match result {
             Ok(()) => self.exchange.answered(),
-            Err(failure) => self.after_failed_try(failure, &assignment, began),
+            Err(failure) => self.after_failed_attempt(failure, &assignment, started),
         }
     }
 
-    /// A request that may be repeated, or that nobody waits for before it was sent, is dropped with
-    /// its caller. One that may not be repeated runs to its end, so that its claim tells how it
-    /// ended.
-    async fn attempt_unless_caller_gone(
+    /// Runs one attempt. A repeatable request is dropped when its caller disconnects; any other
+    /// runs to its end, as its claim needs the outcome.
+    async fn attempt_unless_disconnected(
         &mut self,
         address: std::net::SocketAddr,
         trace: TraceContext,
-    ) -> Result<Brought, Failure> {
+    ) -> Result<BackendAnswer, Failure> {
         let Self { duty, request, exchange, caller, .. } = self;
-        let trying = attempt(duty, request, exchange, address, trace);
+        let attempt = attempt(duty, request, exchange, address, trace);
         if !request.service.repeatable {
-            return trying.await;
+            return attempt.await;
         }
-        let gone = async {
-            // Nothing is ever sent: the channel only closes.
+        let disconnected = async {
+            // Nothing is ever sent on this channel; it closes when the caller disconnects.
             let _ = caller.recv().await;
             Err(Failure::CallerGone)
         };
-        trying.or(gone).await
+        attempt.or(disconnected).await
     }
 
-    fn after_failed_try(
+    fn after_failed_attempt(
         &mut self,
         failure: Failure,
         assignment: &Assignment,
-        began: Instant,
+        started: Instant,
     ) -> Step {
         if failure == Failure::Connect {
-            self.duty.note_unreachable(&self.request.cell, &assignment.backend);
+            self.duty.record_unreachable(&self.request.cell, &assignment.backend);
         }
         let sent = self.exchange.stage() >= Stage::Sent;
-        let step = self.failed(failure);
+        let step = self.on_failure(failure);
         if matches!(step, Step::Finish(_)) && self.stream.is_none() && sent {
-            let cost = self.time_cost(began);
+            let cost = self.time_cost(started);
             if let Some(ticket) = &mut self.ticket {
                 ticket.finish(cost, false);
             }
@@ -270,19 +270,20 @@
         step
     }
 
-    /// Cost of a plain service: the time that it took, in milliseconds. A model tells its own.
-    fn time_cost(&self, began: Instant) -> Cost {
+    /// Returns the cost by elapsed time: milliseconds, at least 1, for a plain service; zero for a
+    /// model, which reports its own usage.
+    fn time_cost(&self, started: Instant) -> Cost {
         match self.request.service.kind {
             ServiceKind::Plain { .. } => {
-                Cost(i64::try_from(began.elapsed().as_millis()).unwrap_or(i64::MAX).max(1))
+                Cost(i64::try_from(started.elapsed().as_millis()).unwrap_or(i64::MAX).max(1))
             }
             ServiceKind::Model { .. } => Cost::ZERO,
         }
     }
 
-    fn take_whole(&mut self, answer: WholeAnswer, began: Instant) {
-        self.note(Happening::AnswerBegun);
-        let cost = usage_of(&answer.body).unwrap_or_else(|| self.time_cost(began));
+    fn accept_buffered(&mut self, answer: BufferedAnswer, started: Instant) {
+        self.record_event(RequestEvent::AnswerBegun);
+        let cost = reported_usage(&answer.body).unwrap_or_else(|| self.time_cost(started));
         self.status = answer.status;
         self.answer = Some(answer);
         if let Some(ticket) = &mut self.ticket {
@@ -291,37 +292,37 @@
     }
 
     async fn relay(&mut self, stream: OpenStream) -> Result<(), Failure> {
-        self.note(Happening::AnswerBegun);
+        self.record_event(RequestEvent::AnswerBegun);
         self.exchange.answer_begun();
-        let (sender, chunks) = smol::channel::bounded(CHUNKS_BUFFERED);
+        let (sender, chunks) = smol::channel::bounded(MAX_BUFFERED_CHUNKS);
         let headers = stream.headers.clone();
         let response =
-            head_of_answer(&self.request.name, StatusCode::OK, headers, streamed(chunks));
-        // A caller that is gone shows when its first chunk cannot be sent.
+            build_answer(&self.request.identity, StatusCode::OK, headers, streamed(chunks));
+        // If the caller has disconnected, sending the first chunk fails.
         let _ = self.reply.send(response).await;
         self.stream = Some(sender.clone());
         let Some(ticket) = &mut self.ticket else {
             return Err(Failure::Stopping);
         };
         let relay = Relay::new(&self.duty, &self.request, ticket, sender, &stream);
-        let (service, result) = relay.carry(stream).await;
+        let (service, result) = relay.run(stream).await;
         ticket.finish(service, result.is_ok());
         result
     }
 
     async fn conclude(mut self, outcome: Outcome) {
-        // The place is given back before the caller hears, so that its next request finds it free.
+        // The slot is released before the caller gets its answer, so its next request can use it.
         drop(self.ticket.take());
-        self.note(Happening::Over(outcome));
+        self.record_event(RequestEvent::Finished(outcome));
         let (service, tenant) = (&self.request.cell.service, &self.request.tenant);
         self.duty.count_outcome(service.as_str(), tenant.as_str(), outcome);
         if self.exchange.claimed() {
             claims::settle(&self.duty, &self.request, outcome, self.status.as_u16());
         }
-        let name = self.request.name;
+        let identity = self.request.identity;
         tracing::info!(
             event = "request",
-            request = %name.id,
+            request = %identity.id,
             tenant = %tenant,
             service = %service,
             outcome = %outcome,
@@ -329,15 +330,15 @@
         );
         match (self.answer.take(), &self.stream) {
             (Some(answer), _) => {
-                let WholeAnswer { status, headers, body } = answer;
-                let _ = self.reply.send(whole_answer(&name, status, headers, body)).await;
+                let BufferedAnswer { status, headers, body } = answer;
+                let _ = self.reply.send(buffered_answer(&identity, status, headers, body)).await;
             }
             (None, Some(_)) if outcome == Outcome::Answered => {}
-            (None, Some(caller)) => Relay::break_off(caller, &self.request, outcome).await,
+            (None, Some(caller)) => Relay::abort(caller, &self.request, outcome).await,
             (None, None) => {
-                let _ = self.reply.send(error_answer(&name, outcome)).await;
+                let _ = self.reply.send(error_answer(&identity, outcome)).await;
             }
         }
-        self.span.finish(&name.id.to_string(), outcome.code());
+        self.span.finish(&identity.id.to_string(), outcome.code());
     }
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the gateway.
+//! Startup and shutdown of the gateway.
 
 use crate::duty::GatewayDuty;
 use crate::metrics::GatewayMetrics;
@@ -13,12 +13,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time at the end of a stop for claims to be settled.
-const CLAIMS_LIMIT: Duration = Duration::from_secs(3);
-/// Time between two looks at the claims under way.
-const CLAIMS_CHECK: Duration = Duration::from_millis(50);
+/// Time at shutdown for pending claims to be settled.
+const CLAIMS_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time between two checks for pending claims.
+const CLAIMS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the gateway until it is asked to stop; with `check`, only checks its settings.
+/// Runs the gateway until it is signalled to stop. With `check`, only validates the settings.
 pub async fn run(path: &Path, check: bool) -> Result<ExitReason, StartError> {
     let (node_settings, own) = load_settings(path, &[settings::SECTION], settings::read)?;
     if check {
@@ -37,7 +37,7 @@
     let node = Node::new(&node_settings, Role::Gateway, node_metrics);
     let duty = GatewayDuty::new(node.clone(), own, metrics);
     let stopper = callers.stopper();
-    duty.set_callers(stopper.clone());
+    duty.set_caller_server(stopper.clone());
     tracing::info!(event = "started", process = %node.me(), role = "gateway", callers = %callers.address());
 
     let as_duty: Arc<dyn Duty> = duty.clone();
@@ -58,7 +58,7 @@
 
 fn caller_config(settings: &GatewaySettings) -> ServerConfig {
     ServerConfig {
-        most_connections: settings.most_connections,
+        most_connections: settings.max_connections,
         head_limit: settings.head_limit,
         ..ServerConfig::default()
     }
@@ -70,8 +70,8 @@
     })
 }
 
-/// Not ready first, so that the balancer sends callers elsewhere; then no new connections; then all
-/// that runs and waits is served to its end, up to `limit`.
+/// Shuts down: reports "not ready", waits `stop-grace` for the load balancer, closes the listener
+/// and serves the remaining requests for at most `limit`.
 async fn stop(
     duty: &Arc<GatewayDuty>,
     stopper: &Stopper,
@@ -83,9 +83,9 @@
     stopper.stop();
     let ended = within(limit, serving).await;
     if ended.is_err() {
-        // What still waits is told so; what runs is cut, and its callers see it.
+        // Waiting requests are answered as not run; running ones are aborted visibly.
         duty.drop_waiters();
-        smol::Timer::after(CLAIMS_CHECK).await;
+        smol::Timer::after(CLAIMS_POLL_INTERVAL).await;
     }
     settle_claims(duty).await;
     tracing::info!(event = "stopped", process = %duty.node().me(), whole = ended.is_ok());
@@ -94,10 +94,10 @@
 
 async fn settle_claims(duty: &Arc<GatewayDuty>) {
     let settled = async {
-        while duty.has_claims_under_way() {
-            smol::Timer::after(CLAIMS_CHECK).await;
+        while duty.has_pending_claims() {
+            smol::Timer::after(CLAIMS_POLL_INTERVAL).await;
         }
     };
-    // Claims left unsettled stay held, which is safe.
-    let _ = within(CLAIMS_LIMIT, settled).await;
+    // A claim that is not settled stays held, so its operation cannot run twice.
+    let _ = within(CLAIMS_TIMEOUT, settled).await;
 }
--- a/crates/gateway/src/tests.rs
+++ b/crates/gateway/src/tests.rs
@@ -1,32 +1,36 @@
+//! Tests of the event stream parser with chunks cut at any position.
+
 use crate::event_stream::StreamMeter;
 use mastbay_types::Cost;
 
 const STREAM: &str = "data: {\"a\":1}\n\ndata: {\"b\":\"\\n\"}\n\n: comment\n\n\
                       data: {\"usage\":{\"total_tokens\":42}}\n\ndata: [DONE]\n\n";
 
+// Guards against events lost or miscounted when a chunk boundary falls within an event.
 #[test]
-fn a_stream_is_followed_however_it_is_cut() {
+fn stream_is_metered_for_any_chunk_size() {
     for size in 1..STREAM.len() {
         let mut meter = StreamMeter::default();
-        let mut passed_on = Vec::new();
+        let mut forwarded = Vec::new();
         for chunk in STREAM.as_bytes().chunks(size) {
-            assert!(!meter.is_whole());
-            passed_on.extend(meter.take(chunk));
+            assert!(!meter.is_complete());
+            forwarded.extend(meter.push(chunk));
         }
-        assert_eq!(passed_on, STREAM.as_bytes());
-        assert!(meter.is_whole());
+        assert_eq!(forwarded, STREAM.as_bytes());
+        assert!(meter.is_complete());
         assert_eq!(meter.events(), 3);
         assert_eq!(meter.service(), Cost(42));
     }
 }
 
+// Guards against a partial event reaching the caller before the stream is resumed.
 #[test]
-fn a_stream_cut_within_an_event_passes_on_whole_events_only() {
+fn stream_cut_within_an_event_forwards_complete_events_only() {
     let mut meter = StreamMeter::default();
-    let passed_on = meter.take(b"data: {\"a\":1}\n\ndata: {\"b\"");
-    assert_eq!(passed_on, b"data: {\"a\":1}\n\n");
+    let forwarded = meter.push(b"data: {\"a\":1}\n\ndata: {\"b\"");
+    assert_eq!(forwarded, b"data: {\"a\":1}\n\n");
     meter.drop_partial_event();
-    assert_eq!(meter.take(b"data: {\"b\":2}\n\n"), b"data: {\"b\":2}\n\n");
+    assert_eq!(meter.push(b"data: {\"b\":2}\n\n"), b"data: {\"b\":2}\n\n");
     assert_eq!(meter.events(), 2);
-    assert!(!meter.is_whole());
+    assert!(!meter.is_complete());
 }
--- a/crates/gateway/src/ticket.rs
+++ b/crates/gateway/src/ticket.rs
@@ -1,5 +1,5 @@
-//! A request's place: in its queue, then at a back end. Whatever happens to the request, dropping
-//! its ticket gives the place back.
+//! The place of a request in its queue and, once granted, its slot at a back end. Dropping the
+//! ticket releases both.
 
 use crate::duty::{FinalCost, GatewayDuty};
 use crate::request::AcceptedRequest;
@@ -9,7 +9,7 @@
 use smol::channel::{Receiver, RecvError};
 use std::sync::Arc;
 
-/// A place in a queue or at a back end.
+/// Owns the place of one request in a queue or its slot at a back end.
 pub struct Ticket {
     duty: Arc<GatewayDuty>,
     cell: CellId,
@@ -17,54 +17,55 @@
     id: RequestId,
     grant: Receiver<Assignment>,
     counted: Cost,
-    over: bool,
+    finished: bool,
 }
 
 impl Ticket {
-    /// Queues a request.
+    /// Queues a request. Fails if the queue of its tenant is full.
     pub fn queue(duty: &Arc<GatewayDuty>, request: &AcceptedRequest) -> Result<Self, NotRunReason> {
         let grant = duty.enqueue(request)?;
         Ok(Self {
             duty: duty.clone(),
             cell: request.cell.clone(),
             tenant: request.tenant.clone(),
-            id: request.name.id,
+            id: request.identity.id,
             grant,
             counted: Cost::ZERO,
-            over: false,
+            finished: false,
         })
     }
 
-    /// Waits for the grant. Fails if the request will not get one: its service was taken away, or
-    /// this gateway stops.
-    pub async fn granted(&self) -> Result<Assignment, RecvError> {
+    /// Waits for the grant. Fails if the service was removed from the configuration or this gateway
+    /// is stopping.
+    pub async fn receive_grant(&self) -> Result<Assignment, RecvError> {
         self.grant.recv().await
     }
 
-    /// Gives the place at the back end back and queues the request again, at the head.
+    /// Releases the slot and puts the request back at the head of its queue.
     pub fn requeue(&mut self) {
         self.counted = Cost::ZERO;
         self.grant = self.duty.requeue(&self.cell, self.id);
     }
 
-    /// Adds service just received.
+    /// Adds service received since the last call.
     pub fn progress(&mut self, more: Cost) {
         self.counted += more;
         self.duty.progress(&self.cell, &self.tenant, self.id, more);
     }
 
-    /// Ends the request's time at the back end.
+    /// Releases the slot. `total` is the full cost of the request, and `typical` whether it counts
+    /// for the cost estimate of the tenant.
     pub fn finish(&mut self, total: Cost, typical: bool) {
         let cost = FinalCost { total, counted: self.counted, typical };
         self.duty.finish(&self.cell, &self.tenant, self.id, cost);
-        self.over = true;
+        self.finished = true;
     }
 }
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        if !self.over {
-            self.duty.give_up(&self.cell, &self.tenant, self.id);
+        if !self.finished {
+            self.duty.cancel(&self.cell, &self.tenant, self.id);
         }
     }
 }
