--- a/crates/routing/tests/evacuation.rs
+++ b/crates/routing/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that the operator evacuates get nothing new, and get their work back afterwards.
+//! Evacuated zones get no new requests and get their prefixes back afterwards.
 
 mod support;
 
@@ -36,8 +36,8 @@
     router
 }
 
-/// Where one request of each prefix is placed.
-fn places(router: &mut Dispatcher, millis: u64) -> Vec<BackEndId> {
+/// Places one request of each prefix. Returns the selected back ends.
+fn placements(router: &mut Dispatcher, millis: u64) -> Vec<BackEndId> {
     let place = |prefix| match router.admit(
         at(millis),
         demand(at(millis), Some(prompt(prefix, millis + prefix, 10)), "t"),
@@ -52,40 +52,43 @@
     (0..PREFIXES).map(place).collect()
 }
 
-fn zones_of(places: &[BackEndId]) -> BTreeSet<&str> {
-    places.iter().map(|id| &id.name[..1]).collect()
+fn zones_of(placements: &[BackEndId]) -> BTreeSet<&str> {
+    placements.iter().map(|id| &id.name[..1]).collect()
 }
 
 #[test]
-fn engines_of_an_evacuated_zone_get_nothing_and_then_their_own_prefixes_again() {
+fn engines_of_an_evacuated_zone_get_no_requests_and_later_their_own_prefixes_again() {
     let mut router = router();
-    let before = places(&mut router, 1_000);
+    let before = placements(&mut router, 1_000);
     assert_eq!(zones_of(&before), BTreeSet::from(ZONES));
     router.on_evacuations(&evacuated(5, &["b"]));
-    let during = places(&mut router, 2_000);
+    let during = placements(&mut router, 2_000);
     assert_eq!(zones_of(&during), BTreeSet::from(["a", "c"]));
     let moved = before.iter().zip(&during).filter(|(before, during)| before != during);
-    assert!(moved.clone().all(|(before, _)| before.name.starts_with('b')), "only what must moves");
+    assert!(
+        moved.clone().all(|(before, _)| before.name.starts_with('b')),
+        "only prefixes of the evacuated zone move"
+    );
     let fault = router.fault_before_send(at(2_000), &BackEndId::from("b0"));
     assert_eq!(fault, Some(Fault::Replaced));
     router.on_evacuations(&evacuated(6, &[]));
-    assert_eq!(places(&mut router, 3_000), before);
+    assert_eq!(placements(&mut router, 3_000), before);
 }
 
 #[test]
-fn engines_that_are_listed_during_an_evacuation_get_nothing_either() {
+fn engines_listed_during_an_evacuation_get_no_requests_either() {
     let mut router = dispatcher(1, 0, 32);
     router.on_evacuations(&evacuated(5, &["a", "c"]));
     router.on_back_ends(at(500), &engines());
-    assert_eq!(zones_of(&places(&mut router, 1_000)), BTreeSet::from(["b"]));
+    assert_eq!(zones_of(&placements(&mut router, 1_000)), BTreeSet::from(["b"]));
 }
 
 #[test]
-fn with_all_zones_evacuated_a_caller_is_told_at_once() {
+fn requests_are_refused_at_once_if_all_zones_are_evacuated() {
     let mut router = router();
     router.on_evacuations(&evacuated(5, &ZONES));
-    let asked = demand(at(1_000), Some(prompt(1, 1, 10)), "t");
-    match router.admit(at(1_000), asked, 0.5) {
+    let demand = demand(at(1_000), Some(prompt(1, 1, 10)), "t");
+    match router.admit(at(1_000), demand, 0.5) {
         Admission::Refused(refusal) => assert_eq!(refusal.reason, RefusalReason::NoBackEnd),
         other => panic!("{other:?}"),
     }
--- /dev/null
+++ b/crates/routing/tests/expired.rs
@@ -0,0 +1,72 @@
+//! Back ends whose entries expired during an outage of the source are kept for a grace period.
+
+mod support;
+
+use mastbay_routing::{BackEndList, BackEndState, OutageDetector, SourceContact};
+use support::directory_view::DirectoryView;
+use support::{at, list};
+
+/// Applies one list and then another, right after an outage or not. Returns the usable back ends.
+fn apply_lists(recovering: bool, first: BackEndList, second: &BackEndList) -> DirectoryView {
+    let mut view = DirectoryView::default();
+    assert!(view.apply(at(0), recovering, first));
+    assert!(view.apply(at(0), recovering, second.clone()));
+    view
+}
+
+#[test]
+fn a_back_end_whose_entry_expired_in_an_outage_is_kept_until_it_is_back() {
+    let mut view = apply_lists(true, list(1, 4, 8), &list(2, 1, 8));
+    assert_eq!(view.back_ends.len(), 4);
+    assert!(view.apply(at(500), true, list(3, 4, 8)));
+    assert_eq!(view.back_ends.len(), 4);
+    assert!(!view.expire(at(5_000)));
+}
+
+#[test]
+fn a_back_end_that_stays_missing_is_removed() {
+    let mut view = apply_lists(true, list(1, 4, 8), &list(2, 1, 8));
+    assert!(!view.expire(at(1_900)));
+    assert!(view.expire(at(2_100)));
+    assert_eq!(view.back_ends.len(), 1);
+}
+
+#[test]
+fn a_draining_back_end_is_not_kept() {
+    let mut all = list(1, 2, 8);
+    all.back_ends[1].state = BackEndState::Draining;
+    assert_eq!(apply_lists(true, all, &list(2, 1, 8)).back_ends.len(), 1);
+}
+
+#[test]
+fn without_an_outage_missing_back_ends_are_removed_at_once() {
+    assert_eq!(apply_lists(false, list(1, 4, 8), &list(2, 1, 8)).back_ends.len(), 1);
+}
+
+#[test]
+fn the_recovery_period_follows_an_outage_but_not_a_single_lost_call() {
+    let mut detector = OutageDetector::default();
+    detector.on_lost(at(1_000));
+    detector.on_answer(at(1_200));
+    assert!(!detector.is_recovering(at(1_200)));
+    detector.on_lost(at(2_000));
+    detector.on_lost(at(4_000));
+    detector.on_answer(at(5_000));
+    assert!(detector.is_recovering(at(7_000)));
+    assert!(!detector.is_recovering(at(8_000)));
+}
+
+/// A router that is cut off must not take its own loss of contact for an outage of the source: back
+/// ends that left would be kept.
+#[test]
+fn the_source_answers_as_long_as_any_router_has_contact() {
+    let mut fleet = vec![support::dispatcher(1, 1, 4), support::dispatcher(2, 1, 4)];
+    fleet[0].on_source_contact(SourceContact::Lost);
+    fleet[1].on_source_contact(SourceContact::Answered);
+    assert!(!fleet[0].is_source_answering(at(0)));
+    support::exchange_digests(at(0), &mut fleet);
+    assert!(fleet[0].is_source_answering(at(0)));
+    fleet[1].on_source_contact(SourceContact::Lost);
+    support::exchange_digests(at(80), &mut fleet);
+    assert!(!fleet[0].is_source_answering(at(80)));
+}
--- a/crates/routing/tests/fingerprint.rs
+++ b/crates/routing/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which arrivals are taken for the same request.
+//! Fingerprints identify requests by their content and are parsed back from their text form.
 
 use mastbay_routing::{RequestFingerprint, RequestIdentity};
 use quickcheck::quickcheck;
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn each_part_of_the_identity_tells_requests_apart() {
+fn each_part_of_the_identity_distinguishes_requests() {
     let others = [
         RequestIdentity { tenant: None, ..REQUEST },
         RequestIdentity { tenant: Some("b"), ..REQUEST },
@@ -30,7 +30,7 @@
 }
 
 quickcheck! {
-    fn a_fingerprint_is_read_back_from_its_text(body: Vec<u8>) -> bool {
+    fn a_fingerprint_round_trips_through_its_text(body: Vec<u8>) -> bool {
         let fingerprint = RequestFingerprint::of(&RequestIdentity { body: &body, ..REQUEST });
         fingerprint.to_string().parse() == Ok(fingerprint)
     }
--- a/crates/routing/tests/growth.rs
+++ b/crates/routing/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What a router does for a request and for a round of messages does not grow with the number of back ends.
+//! The work per request and per round of messages is independent of the number of back ends.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use support::{MODEL, PLAIN, at, back_end, demand, dispatcher, prompt};
 
-/// Back ends of each of two services, twice as many each time.
+/// Numbers of back ends of each of two services.
 const SIZES: [usize; 4] = [250, 500, 1_000, 2_000];
 const REQUESTS: u64 = 40;
 const ROUNDS: u64 = 50;
@@ -30,8 +30,8 @@
     router
 }
 
-/// Back ends looked at by what `work` does.
-fn looks(router: &mut Dispatcher, work: impl FnOnce(&mut Dispatcher)) -> u64 {
+/// Returns the number of back ends that `work` examines.
+fn count_examined(router: &mut Dispatcher, work: impl FnOnce(&mut Dispatcher)) -> u64 {
     let before = router.engines_examined();
     work(router);
     router.engines_examined() - before
@@ -46,30 +46,30 @@
 }
 
 #[test]
-fn requests_look_at_as_many_back_ends_whatever_their_number() {
+fn requests_examine_as_many_back_ends_in_a_fleet_of_any_size() {
     for is_plain in [true, false] {
-        let looked =
-            SIZES.map(|count| looks(&mut router(count), |router| admit_all(router, is_plain)));
-        assert!(looked.iter().all(|looks| *looks <= looked[0] + REQUESTS), "{looked:?}");
+        let examined = SIZES
+            .map(|count| count_examined(&mut router(count), |router| admit_all(router, is_plain)));
+        assert!(examined.iter().all(|count| *count <= examined[0] + REQUESTS), "{examined:?}");
     }
 }
 
-/// Looking at all of 10,000 in each round took a third of the processor time of the smallest machines.
+/// Examining all back ends in each round would take much of the CPU of a small machine.
 #[test]
-fn rounds_look_only_at_back_ends_that_this_router_uses() {
-    let looked = SIZES.map(|count| {
+fn rounds_examine_only_back_ends_that_this_router_uses() {
+    let examined = SIZES.map(|count| {
         let mut router = router(count);
         admit_all(&mut router, false);
-        looks(&mut router, |router| {
+        count_examined(&mut router, |router| {
             for round in 0..ROUNDS {
                 router.next_round(at(2_000 + round * 80), RouterPhase::Serving, &[]);
             }
         })
     });
-    assert!(looked.iter().all(|looks| *looks <= ROUNDS * REQUESTS * 2), "{looked:?}");
+    assert!(examined.iter().all(|count| *count <= ROUNDS * REQUESTS * 2), "{examined:?}");
 }
 
-/// Routers that know nothing of each other's requests yet do not meet at the same plain back ends.
+/// Routers that don't know each other's requests yet must not select the same plain back ends.
 #[test]
 fn plain_requests_spread_over_many_back_ends() {
     let mut used = BTreeSet::new();
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests under which back ends ended: what counts against them, what clears them, and how fast all routers know.
+//! Quarantine of requests under which back ends terminated: counting, clearing, probing, and the
+//! time until all routers know.
 
 mod support;
 
@@ -43,22 +44,22 @@
 }
 
 #[test]
-fn the_third_life_that_ends_under_a_request_quarantines_it() {
+fn the_third_incarnation_that_terminates_under_a_request_quarantines_it() {
     let mut quarantine = Quarantine::new(LIMITS);
     assert_eq!(quarantine.on_termination(at(0), incarnation(1), request(1)), None);
     assert_eq!(quarantine.on_termination(at(1), incarnation(2), request(1)), None);
     assert_eq!(quarantine.status(at(1), request(1)), QuarantineStatus::Suspect);
-    // The same end told again is one end.
+    // A repeated report of a termination counts once.
     assert_eq!(quarantine.on_termination(at(1), incarnation(2), request(1)), None);
     let quarantined =
         quarantine.on_termination(at(2), incarnation(3), request(1)).expect("quarantined");
     assert_eq!(quarantined.back_ends.len(), 3);
-    assert_eq!(quarantine.on_termination(at(3), incarnation(4), request(1)), None, "told once");
+    assert_eq!(quarantine.on_termination(at(3), incarnation(4), request(1)), None, "returned once");
     assert_eq!(quarantine.status(at(3), request(2)), QuarantineStatus::Clear);
 }
 
 #[test]
-fn a_request_that_is_served_is_cleared_of_the_ends_before() {
+fn a_served_request_is_cleared_of_earlier_terminations() {
     let mut quarantine = Quarantine::new(LIMITS);
     for number in 1..=2 {
         quarantine.on_termination(at(0), incarnation(number), request(1));
@@ -71,27 +72,29 @@
 }
 
 #[test]
-fn an_end_counts_for_its_time_only_wherever_it_was_told() {
+fn a_termination_counts_for_its_period_at_every_router() {
     let mut first = Quarantine::new(LIMITS);
     for number in 1..=3 {
         first.on_termination(at(number), incarnation(number), request(1));
     }
     let reports = first.next_reports(at(300));
     let mut second = Quarantine::new(LIMITS);
-    // Its own clock began later.
+    // Its clock started later.
     assert_eq!(second.on_reports(at(0), &reports, Relaying::Nothing).len(), 1);
     let status = second.status(at(0), request(1));
     let left = Duration::from_secs(301);
-    assert!(matches!(status, QuarantineStatus::Quarantined { left: told, .. } if told == left));
+    assert!(
+        matches!(status, QuarantineStatus::Quarantined { left: reported, .. } if reported == left)
+    );
     assert!(!is_quarantined(&second, at(302), 1));
-    // What no longer counts is not told again, so it does not come back.
+    // Expired terminations are not reported again, so they don't reappear.
     first.expire(at(604));
     second.expire(at(304));
     assert!(first.is_empty() && second.is_empty());
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_the_worst_stays() {
+fn the_number_of_requests_is_bounded_and_quarantined_ones_are_kept() {
     let mut quarantine = Quarantine::new(LIMITS);
     for number in 1..=3 {
         quarantine.on_termination(at(0), incarnation(number), request(0));
@@ -104,13 +107,14 @@
     assert_eq!(quarantine.status(at(6), request(1)), QuarantineStatus::Clear);
 }
 
-/// Moments, in tenths of a second from the last end, in which one of two routers probes a request that nobody serves.
+/// Returns the times, in tenths of a second after the last termination, at which one of two routers
+/// probes a request that is never served.
 fn probes(quarantine: &mut Quarantine, index: u64, until: u64) -> Vec<u64> {
-    let turn = ProbeSlot { index, routers: 2 };
+    let slot = ProbeSlot { index, routers: 2 };
     let mut probed = Vec::new();
     for tenth in 0..until {
         let now = at(1) + Duration::from_millis(100 * tenth);
-        if quarantine.take_probe(now, request(1), turn) {
+        if quarantine.take_probe(now, request(1), slot) {
             probed.push(tenth);
         }
     }
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn routers_probe_a_quarantined_request_in_turn_and_pause_after_a_further_end() {
+fn routers_probe_in_turn_and_back_off_after_a_further_termination() {
     let mut quarantine = Quarantine::new(LIMITS);
     for number in 1..=3 {
         quarantine.on_termination(at(1), incarnation(number), request(1));
@@ -135,11 +139,12 @@
     assert_eq!(probes(&mut other, 1, 2_900), []);
 }
 
-/// What the tests know of a report: request, life and whether it was cleared, from small numbers so that they meet.
+/// Builds reports from numbers for the request, the incarnation and whether it was cleared. The
+/// ranges are small so that reports concern the same requests.
 fn reports_from(numbers: &[(u8, u8, bool)]) -> Vec<TerminationReport> {
-    let report = |(asked, ended, is_cleared): &(u8, u8, bool)| TerminationReport {
-        request: request(u64::from(asked % 4)),
-        back_end: incarnation(u64::from(ended % 5)),
+    let report = |(number, terminated, is_cleared): &(u8, u8, bool)| TerminationReport {
+        request: request(u64::from(number % 4)),
+        back_end: incarnation(u64::from(terminated % 5)),
         counts_for_ms: 60_000,
         is_cleared: *is_cleared,
     };
@@ -147,7 +152,7 @@
 }
 
 quickcheck! {
-    fn reports_in_any_order_and_number_come_to_the_same(numbers: Vec<(u8, u8, bool)>, seed: u64) -> bool {
+    fn reports_merge_in_any_order_and_number(numbers: Vec<(u8, u8, bool)>, seed: u64) -> bool {
         let reports = reports_from(&numbers);
         let mut in_order = Quarantine::new(LIMITS);
         in_order.on_reports(at(0), &reports, Relaying::All);
@@ -161,7 +166,7 @@
         (0..4).all(|number| in_order.status(at(0), request(number)) == shuffled.status(at(0), request(number)))
     }
 
-    fn a_request_is_quarantined_by_three_ends_that_were_not_cleared(numbers: Vec<(u8, u8, bool)>) -> TestResult {
+    fn a_request_is_quarantined_by_three_uncleared_terminations(numbers: Vec<(u8, u8, bool)>) -> TestResult {
         let reports = reports_from(&numbers);
         let mut quarantine = Quarantine::new(LIMITS);
         quarantine.on_reports(at(0), &reports, Relaying::All);
@@ -177,125 +182,133 @@
     }
 }
 
-/// Routers of a fleet in virtual time with what each knows of requests.
-struct Spread {
+/// A fleet in virtual time with the quarantine of each router.
+struct Simulation {
     fleet: Fleet,
-    known: BTreeMap<SocketAddr, Quarantine>,
+    quarantines: BTreeMap<SocketAddr, Quarantine>,
     random: ChaCha8Rng,
-    lost: f64,
+    /// Probability that a message is lost.
+    loss_rate: f64,
 }
 
-impl Spread {
-    fn new(routers: usize, lost: f64) -> Self {
+impl Simulation {
+    fn new(routers: usize, loss_rate: f64) -> Self {
         let mut fleet = Fleet::new(routers);
         fleet.rounds(40);
-        let known =
+        let quarantines =
             fleet.routers.keys().map(|address| (*address, Quarantine::new(LIMITS))).collect();
-        Self { fleet, known, random: ChaCha8Rng::seed_from_u64(1), lost }
+        Self { fleet, quarantines, random: ChaCha8Rng::seed_from_u64(1), loss_rate }
     }
 
-    fn end(&mut self, router: usize, ended: u64, number: u64) {
+    fn terminate(&mut self, router: usize, terminated: u64, number: u64) {
         let now = self.fleet.now;
-        let known = self.known.get_mut(&address(router)).expect("a router");
-        known.on_termination(now, incarnation(ended), request(number));
+        let quarantine = self.quarantines.get_mut(&address(router)).expect("a router");
+        quarantine.on_termination(now, incarnation(terminated), request(number));
     }
 
-    /// One round of all routers' reports and reminders.
+    /// Exchanges one round of reports and reminders of all routers.
     fn round(&mut self) {
         self.fleet.now = self.fleet.now + ROUND_PERIOD;
         let now = self.fleet.now;
         let mut sent = Vec::new();
-        for (sender, known) in &mut self.known {
+        for (sender, quarantine) in &mut self.quarantines {
             let dispatcher = &self.fleet.routers[sender];
-            let reports = known.next_reports(now);
+            let reports = quarantine.next_reports(now);
             let targets = dispatcher.gossip_targets(self.random.next_u64());
             sent.extend(targets.into_iter().map(|target| (target, reports.clone())));
-            let reminder = known.next_reminder(now);
+            let reminder = quarantine.next_reminder(now);
             sent.extend(
                 dispatcher.random_peer(self.random.next_u64()).map(|target| (target, reminder)),
             );
         }
         for (target, reports) in sent {
-            if self.random.random::<f64>() < self.lost {
+            if self.random.random::<f64>() < self.loss_rate {
                 continue;
             }
             let relaying = self.fleet.routers[&target].relaying();
-            let known = self.known.get_mut(&target).expect("a router");
-            known.on_reports(now, &reports, relaying);
+            let quarantine = self.quarantines.get_mut(&target).expect("a router");
+            quarantine.on_reports(now, &reports, relaying);
         }
     }
 
     fn quarantining(&self, number: u64) -> usize {
         let now = self.fleet.now;
-        self.known.values().filter(|known| is_quarantined(known, now, number)).count()
+        self.quarantines.values().filter(|one| is_quarantined(one, now, number)).count()
     }
 
-    /// Rounds until all routers quarantine a request.
+    /// Runs rounds until all routers quarantine a request. Returns their number.
     fn rounds_until_all(&mut self, number: u64) -> u32 {
         for round in 0..200 {
-            if self.quarantining(number) == self.known.len() {
+            if self.quarantining(number) == self.quarantines.len() {
                 return round;
             }
             self.round();
         }
-        panic!("{} of {} routers quarantine it", self.quarantining(number), self.known.len());
+        panic!("{} of {} routers quarantine it", self.quarantining(number), self.quarantines.len());
     }
 }
 
-/// The routers have 3 s and more to know of the third end. The bound leaves two thirds of that for finding out that a back end ended.
+/// Routers have at least 3 s to learn of the third termination; the bound leaves two thirds of that
+/// for detecting it.
 #[test]
-fn all_routers_know_within_a_second_of_ends_that_three_of_them_saw() {
-    for (routers, lost) in [(3, 0.1), (7, 0.1), (26, 0.1), (85, 0.1), (295, 0.1), (295, 0.3)] {
-        let mut spread = Spread::new(routers, lost);
-        for (router, ended) in [(0, 1), (1, 2), (2, 3)] {
-            spread.end(router, ended, 1);
+fn all_routers_know_terminations_within_a_second() {
+    for (routers, loss_rate) in [(3, 0.1), (7, 0.1), (26, 0.1), (85, 0.1), (295, 0.1), (295, 0.3)] {
+        let mut simulation = Simulation::new(routers, loss_rate);
+        for (router, terminated) in [(0, 1), (1, 2), (2, 3)] {
+            simulation.terminate(router, terminated, 1);
         }
-        let rounds = spread.rounds_until_all(1);
-        let taken = ROUND_PERIOD * rounds;
-        println!("{routers} routers, {lost} lost: {taken:?}");
-        assert!(taken <= Duration::from_secs(1), "{routers} routers, {lost} lost: {taken:?}");
+        let rounds = simulation.rounds_until_all(1);
+        let elapsed = ROUND_PERIOD * rounds;
+        println!("{routers} routers, {loss_rate} lost: {elapsed:?}");
+        assert!(
+            elapsed <= Duration::from_secs(1),
+            "{routers} routers, {loss_rate} lost: {elapsed:?}"
+        );
     }
 }
 
-/// A router that starts has heard nothing; it is reminded soon, whoever saw the ends.
+/// A restarted router has missed the reports and must learn of the quarantine from reminders.
 #[test]
-fn a_router_that_starts_anew_is_reminded_of_what_is_quarantined() {
+fn a_restarted_router_is_reminded_of_quarantined_requests() {
     for routers in [7, 85] {
-        let mut spread = Spread::new(routers, 0.1);
-        for ended in 1..=3 {
-            spread.end(0, ended, 1);
+        let mut simulation = Simulation::new(routers, 0.1);
+        for terminated in 1..=3 {
+            simulation.terminate(0, terminated, 1);
         }
-        spread.rounds_until_all(1);
-        (0..20).for_each(|_| spread.round());
-        spread.known.insert(address(3), Quarantine::new(LIMITS));
-        let rounds = spread.rounds_until_all(1);
-        let taken = ROUND_PERIOD * rounds;
-        println!("{routers} routers: {taken:?}");
-        assert!(taken <= Duration::from_secs(3), "{routers} routers: {taken:?}");
+        simulation.rounds_until_all(1);
+        (0..20).for_each(|_| simulation.round());
+        simulation.quarantines.insert(address(3), Quarantine::new(LIMITS));
+        let rounds = simulation.rounds_until_all(1);
+        let elapsed = ROUND_PERIOD * rounds;
+        println!("{routers} routers: {elapsed:?}");
+        assert!(elapsed <= Duration::from_secs(3), "{routers} routers: {elapsed:?}");
     }
 }
 
-/// Quiet routers say nothing: what is told is told a few times.
+/// Reports are sent a few times only, so routers without new terminations send nothing.
 #[test]
-fn nothing_is_told_where_nothing_is_quarantined() {
-    let mut spread = Spread::new(85, 0.0);
-    spread.end(0, 1, 1);
-    (0..20).for_each(|_| spread.round());
-    let now = spread.fleet.now;
-    for known in spread.known.values_mut() {
-        assert!(known.next_reports(now).is_empty() && known.next_reminder(now).is_empty());
+fn nothing_is_sent_if_nothing_is_quarantined() {
+    let mut simulation = Simulation::new(85, 0.0);
+    simulation.terminate(0, 1, 1);
+    (0..20).for_each(|_| simulation.round());
+    let now = simulation.fleet.now;
+    for quarantine in simulation.quarantines.values_mut() {
+        assert!(
+            quarantine.next_reports(now).is_empty() && quarantine.next_reminder(now).is_empty()
+        );
     }
 }
 
-/// All that were under way at the back end that ended go to different ones, so that the next end tells which of them it was.
+/// Suspects that were in flight at the same back end are placed at different ones, so that the next
+/// termination identifies the cause. All routers place the same suspect at the same back end.
 #[test]
-fn suspects_part_and_copies_of_one_meet() {
+fn suspects_are_separated_and_copies_of_one_are_placed_together() {
     let now = Timestamp::ZERO;
     let place = |number: u64, router: u64| -> Placement {
-        let mut asked = demand(now, Some(prompt(1, number, 100)), "t");
-        asked.suspect = Some(request(number));
+        let mut demand = demand(now, Some(prompt(1, number, 100)), "t");
+        demand.suspect = Some(request(number));
         let mut dispatcher = dispatcher(router as u8 + 1, 12, 48);
-        match dispatcher.admit(now, asked, 0.5) {
+        match dispatcher.admit(now, demand, 0.5) {
             mastbay_routing::Admission::Placed(placement) => placement,
             other => panic!("{other:?}"),
         }
--- a/crates/routing/tests/regions.rs
+++ b/crates/routing/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Requests that may be served in some regions only.
+//! Requests are placed only in the regions that their route and tenant allow.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 const ZONES: [(&str, &str); 4] = [("a", "north"), ("b", "north"), ("c", "south"), ("d", "west")];
 
-/// Eight engines and two plain back ends in each zone; that of zone `e` is in no known region.
+/// Returns eight engines and two plain back ends per zone. Zone `e` has no known region.
 fn back_ends() -> BackEndList {
     let mut list = BackEndList { revision: 2.into(), back_ends: Vec::new() };
     for zone in ["a", "b", "c", "d", "e"] {
@@ -46,7 +46,7 @@
     router.admit(at(10), demand, 0.5)
 }
 
-/// Where as many requests as find room are placed, by zone.
+/// Fills the fleet with requests. Returns the zones in which any were placed.
 fn zones_used(router: &mut Dispatcher, regions: &AllowedRegions, is_plain: bool) -> Vec<String> {
     let mut zones = Vec::new();
     for subject in 0..400 {
@@ -69,7 +69,7 @@
     assert_eq!(zones_used(&mut router(), &AllowedRegions::default(), false).len(), 5);
 }
 
-/// Without an allowed region a request is told so at once; waiting would make no room.
+/// Waiting cannot help a request without an allowed region.
 #[test]
 fn a_request_that_no_region_may_serve_is_refused_at_once() {
     let mut router = router();
@@ -86,7 +86,7 @@
 }
 
 quickcheck! {
-    fn what_route_and_tenant_allow_is_what_both_allow(route: Option<Vec<u8>>, tenant: Option<Vec<u8>>) -> bool {
+    fn a_region_is_allowed_if_route_and_tenant_both_allow_it(route: Option<Vec<u8>>, tenant: Option<Vec<u8>>) -> bool {
         let regions = |named: &Option<Vec<u8>>| match named {
             Some(named) => AllowedRegions::only(named.iter().map(|one| (one % 6).to_string())),
             None => AllowedRegions::default(),
--- a/crates/routing/tests/restored.rs
+++ b/crates/routing/tests/restored.rs
@@ -1,4 +1,4 @@
-//! A source that comes back from an older copy: what it makes usable again is not believed at once.
+//! A source restored from an older backup must not make departed back ends usable at once.
 
 mod support;
 
@@ -10,10 +10,10 @@
 use support::directory_view::DirectoryView;
 use support::{MODEL, at, back_end, dispatcher};
 
-/// When the source is back.
+/// Time of the restore, in milliseconds.
 const RESTORED: u64 = 10_000;
 
-fn of(revision: Revision, back_ends: &[(&str, BackEndState)]) -> BackEndList {
+fn back_end_list(revision: Revision, back_ends: &[(&str, BackEndState)]) -> BackEndList {
     let back_ends = back_ends.iter();
     let entry = |(name, state): &(&str, BackEndState)| BackEnd {
         state: *state,
@@ -23,7 +23,7 @@
 }
 
 quickcheck! {
-    fn whatever_a_later_era_tells_is_newer(eras: (u8, u8), numbers: (u64, u64)) -> bool {
+    fn revisions_of_a_later_era_are_newer(eras: (u8, u8), numbers: (u64, u64)) -> bool {
         let (left, right) = (
             Revision::new(eras.0.into(), numbers.0),
             Revision::new(eras.1.into(), numbers.1),
@@ -34,48 +34,53 @@
         }
     }
 
-    fn a_revision_is_read_as_it_is_written(era: u64, number: u64) -> bool {
+    fn a_revision_round_trips_through_its_text(era: u64, number: u64) -> bool {
         let revision = Revision::new(era, number);
         revision.to_string().parse() == Ok(revision)
     }
 }
 
-/// One that had gone, one that drained, and one that stayed: only the last is used until the doubt is over.
+/// Back ends that were removed or draining before the restore are excluded until the uncertainty
+/// window ends.
 #[test]
-fn back_ends_that_left_before_the_restore_get_nothing_for_a_while() {
+fn back_ends_that_left_before_the_restore_are_excluded_for_a_while() {
     use BackEndState::{Draining, Ready};
-    let mut usable = DirectoryView::default();
+    let mut view = DirectoryView::default();
     let all = [("gone", Ready), ("leaving", Ready), ("staying", Ready)];
-    usable.apply(at(0), false, of(Revision::new(0, 50), &all));
+    view.apply(at(0), false, back_end_list(Revision::new(0, 50), &all));
     let left = [("leaving", Draining), ("staying", Ready)];
-    usable.apply(at(8_000), false, of(Revision::new(0, 60), &left));
-    usable.apply(at(RESTORED), false, of(Revision::new(1, 50), &all));
-    assert_eq!(usable.ready(), ["staying"]);
-    assert!(!usable.expire(at(RESTORED + 5_900)));
-    assert!(usable.expire(at(RESTORED + 6_000)));
-    assert_eq!(usable.ready().len(), 3);
+    view.apply(at(8_000), false, back_end_list(Revision::new(0, 60), &left));
+    view.apply(at(RESTORED), false, back_end_list(Revision::new(1, 50), &all));
+    assert_eq!(view.ready(), ["staying"]);
+    assert!(!view.expire(at(RESTORED + 5_900)));
+    assert!(view.expire(at(RESTORED + 6_000)));
+    assert_eq!(view.ready().len(), 3);
 }
 
-/// One that is younger than the copy is kept until it has written itself again.
+/// A back end that registered after the backup is kept until it registers again.
 #[test]
-fn back_ends_that_the_copy_lacks_are_kept_for_a_moment() {
+fn back_ends_that_the_backup_lacks_are_kept_until_they_register_again() {
     use BackEndState::Ready;
-    let mut usable = DirectoryView::default();
-    usable.apply(at(0), false, of(Revision::new(0, 50), &[("old", Ready), ("young", Ready)]));
-    usable.apply(at(RESTORED), false, of(Revision::new(1, 20), &[("old", Ready)]));
-    assert_eq!(usable.ready().len(), 2);
+    let mut view = DirectoryView::default();
+    view.apply(
+        at(0),
+        false,
+        back_end_list(Revision::new(0, 50), &[("old", Ready), ("young", Ready)]),
+    );
+    view.apply(at(RESTORED), false, back_end_list(Revision::new(1, 20), &[("old", Ready)]));
+    assert_eq!(view.ready().len(), 2);
     let base = Some(Revision::new(1, 20));
-    let listed = of(Revision::default(), &[("young", Ready)]).back_ends;
+    let listed = back_end_list(Revision::default(), &[("young", Ready)]).back_ends;
     let update =
         BackEndUpdate { base, revision: Revision::new(1, 21), listed, removed: Vec::new() };
-    usable.apply(at(RESTORED + 1_200), false, update);
-    usable.expire(at(RESTORED + 20_000));
-    assert_eq!(usable.ready().len(), 2);
+    view.apply(at(RESTORED + 1_200), false, update);
+    view.expire(at(RESTORED + 20_000));
+    assert_eq!(view.ready().len(), 2);
 }
 
-/// Two restores in a row: the second keeps what the first had kept.
+/// A second restore in a row keeps the evacuations that the first one kept.
 #[test]
-fn evacuations_that_a_restored_source_lost_hold_until_they_are_written_again() {
+fn evacuations_that_a_restored_source_lost_stay_in_force_for_a_while() {
     let zones = |revision, names: &[&str]| {
         let zones = names.iter().map(|name| (*name).to_owned()).collect();
         EvacuatedZones { revision, zones }
@@ -93,20 +98,20 @@
     assert!(evacuations.in_force().expect("known").zones.is_empty());
 }
 
-/// A router that missed the restore learns of it from the first message of one that did not.
+/// A router that missed the restore learns of it from the first digest of one that did not.
 #[test]
-fn a_peer_of_a_later_era_has_something_newer() {
+fn a_peer_of_a_later_era_has_a_newer_snapshot() {
     let mut outdated = dispatcher(1, 4, 8);
     let mut restored = dispatcher(2, 4, 8);
-    outdated.on_back_ends(at(0), &of(Revision::new(0, 900), &[]));
-    restored.on_back_ends(at(0), &of(Revision::new(1, 5), &[]));
+    outdated.on_back_ends(at(0), &back_end_list(Revision::new(0, 900), &[]));
+    restored.on_back_ends(at(0), &back_end_list(Revision::new(1, 5), &[]));
     restored.on_source_contact(SourceContact::Answered);
-    let (told_by_restored, told_by_outdated) = (
+    let (digest_of_restored, digest_of_outdated) = (
         restored.digest(at(1), RouterPhase::Serving),
         outdated.digest(at(1), RouterPhase::Serving),
     );
-    outdated.on_digest(at(2), told_by_restored);
-    restored.on_digest(at(2), told_by_outdated);
+    outdated.on_digest(at(2), digest_of_restored);
+    restored.on_digest(at(2), digest_of_outdated);
     assert!(outdated.newer_snapshot_address(at(3), 0.5).is_some());
     assert!(restored.newer_snapshot_address(at(3), 0.5).is_none());
 }
--- a/crates/routing/tests/rollouts.rs
+++ b/crates/routing/tests/rollouts.rs
@@ -1,4 +1,5 @@
-//! Roll-outs over whole fleets in virtual time: what a bad version is sent, how soon it is stopped, and what is recorded.
+//! Simulated roll-outs in fleets of routers: exposure to a bad version, time to its rollback, and
+//! the recorded states.
 
 mod support;
 
@@ -15,30 +16,34 @@
 use support::fleet::Fleet;
 use support::{PLAIN, at, back_end, demand};
 
-/// When the order is given: all routers know each other by then.
-const ORDERED: u64 = 3_000;
+/// Time of the order, in milliseconds. By then all routers know each other.
+const ORDERED_AT_MILLIS: u64 = 3_000;
 const DURATION: Duration = Duration::from_secs(12);
-/// Time until an entry is heard by all routers.
-const HEARD: Duration = Duration::from_millis(400);
-/// Bounds of the operator: part of all requests, requests beyond it, bad answers, and time from the last of these to the last send.
-const SHARE: f64 = 0.1;
-const BURST: f64 = 50.0;
-const MOST_BAD: u32 = 50;
-const ROLLBACK: Duration = Duration::from_secs(5);
-/// Requests a second over the fleet, on two routes.
-const RATE: u64 = 400;
+/// Time until all routers know a recorded state.
+const PROPAGATION_TIME: Duration = Duration::from_millis(400);
+/// Maximum fraction of all requests sent to a bad version.
+const MAX_FRACTION: f64 = 0.1;
+/// Number of requests allowed beyond that fraction.
+const MAX_BURST: f64 = 50.0;
+/// Number of bad answers after which the rollback time starts.
+const MAX_BAD_ANSWERS: u32 = 50;
+/// Maximum time until no more requests are sent to the bad version.
+const ROLLBACK_TIME: Duration = Duration::from_secs(5);
+/// Requests per second of the whole fleet.
+const REQUEST_RATE: u64 = 400;
+/// Number of routes.
 const ROUTES: u32 = 2;
-/// Time of an answer, from and to, in milliseconds.
+/// Range of service times, in milliseconds.
 const SERVICE_MILLIS: (u64, u64) = (30, 90);
 
-/// How a version is.
+/// Behaviour of the new version.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Version {
-    /// As good as the one before.
+    /// Behaves like the old version.
     Good,
-    /// A part of its answers fails.
+    /// Fails a fraction of its requests from some time after the order on.
     Fails { share: f64, after: Duration, on_one_route: bool },
-    /// Its answers take several times as long.
+    /// Takes several times as long.
     Slow { times: u64 },
 }
 
@@ -46,9 +51,9 @@
 struct Case {
     routers: usize,
     version: Version,
-    /// Part of the answers that fail of either version.
+    /// Fraction of the requests that fail on either version.
     failing_everywhere: f64,
-    /// The router that records is gone, and another one has to, from this moment of the order on.
+    /// Time after the order at which the recording router is lost and another one takes over.
     recorder_lost: Option<Duration>,
     seed: u64,
 }
@@ -58,20 +63,21 @@
     sent: u64,
     sent_to_new: u64,
     bad: u32,
-    /// When the last of the bad answers came that are allowed.
+    /// Time of the bad answer that starts the rollback time.
     alarm: Option<Timestamp>,
     last_sent_to_new: Timestamp,
     recorded: Vec<(Timestamp, RolloutState)>,
 }
 
-struct Play {
+struct Simulation {
     case: Case,
     fleet: Fleet,
     random: ChaCha8Rng,
     order: RolloutOrder,
     due: BTreeMap<(Timestamp, u64), (usize, TicketId, bool, bool)>,
     count: u64,
-    heard: Option<Timestamp>,
+    /// When all routers know the last recorded state.
+    announced_at: Option<Timestamp>,
     outcome: Outcome,
 }
 
@@ -99,21 +105,21 @@
     }
 }
 
-impl Play {
+impl Simulation {
     fn new(case: Case) -> Self {
         let mut fleet = Fleet::new(case.routers);
         let list = back_ends();
         fleet.routers.values_mut().for_each(|router| router.on_back_ends(at(0), &list));
         let random = ChaCha8Rng::seed_from_u64(case.seed);
         let (due, outcome) = (BTreeMap::new(), Outcome::default());
-        Self { case, fleet, random, order: order(), due, count: 0, heard: None, outcome }
+        Self { case, fleet, random, order: order(), due, count: 0, announced_at: None, outcome }
     }
 
     fn run(mut self) -> Outcome {
-        self.fleet.rounds((ORDERED / ROUND_PERIOD.as_millis() as u64) as usize);
+        self.fleet.rounds((ORDERED_AT_MILLIS / ROUND_PERIOD.as_millis() as u64) as usize);
         let ordered = self.fleet.now;
-        self.tell_orders();
-        while self.fleet.now < ordered + DURATION + ROLLBACK {
+        self.announce_orders();
+        while self.fleet.now < ordered + DURATION + ROLLBACK_TIME {
             self.round(ordered);
         }
         self.outcome
@@ -122,10 +128,10 @@
     fn round(&mut self, ordered: Timestamp) {
         let began = self.fleet.now;
         self.fleet.round();
-        let arrivals = RATE * ROUND_PERIOD.as_millis() as u64 / 1_000;
+        let arrivals = REQUEST_RATE * ROUND_PERIOD.as_millis() as u64 / 1_000;
         for arrival in 0..arrivals {
             let now = began + ROUND_PERIOD.mul_f64(arrival as f64 / arrivals as f64);
-            self.end_due(now);
+            self.end_requests(now);
             self.send(now, ordered);
         }
         self.record(ordered);
@@ -138,8 +144,8 @@
         let admission = self.fleet.router(index).admit(now, demand, 0.5);
         let Admission::Placed(placement) = admission else { return };
         let is_new = &*placement.back_end.version == "v2";
-        let (least, most) = SERVICE_MILLIS;
-        let mut millis = self.random.random_range(least..most);
+        let (min, max) = SERVICE_MILLIS;
+        let mut millis = self.random.random_range(min..max);
         let mut fails = self.random.random_bool(self.case.failing_everywhere);
         if is_new {
             match self.case.version {
@@ -164,7 +170,7 @@
         }
     }
 
-    fn end_due(&mut self, now: Timestamp) {
+    fn end_requests(&mut self, now: Timestamp) {
         while let Some(first) = self.due.first_entry() {
             if first.key().0 > now {
                 return;
@@ -177,19 +183,20 @@
             router.on_end(end, ticket, if fails { Err(Some(Fault::Failure)) } else { Ok(()) });
             if is_bad {
                 self.outcome.bad += 1;
-                if self.outcome.bad == MOST_BAD {
+                if self.outcome.bad == MAX_BAD_ANSWERS {
                     self.outcome.alarm = Some(end);
                 }
             }
         }
     }
 
-    /// What one of the routers that follow the source does: it judges, and writes on a condition.
+    /// Evaluates roll-outs on all routers and records the results of one that watches the source,
+    /// by conditional writes.
     fn record(&mut self, ordered: Timestamp) {
         let now = self.fleet.now;
-        if self.heard.is_some_and(|heard| now >= heard) {
-            self.heard = None;
-            self.tell_orders();
+        if self.announced_at.is_some_and(|announced_at| now >= announced_at) {
+            self.announced_at = None;
+            self.announce_orders();
         }
         let is_lost = self.case.recorder_lost.is_some_and(|after| now >= ordered + after);
         let recorder = if is_lost { 1 } else { 0 };
@@ -203,11 +210,11 @@
             self.order.state = record.state;
             self.order.revision.number += 1;
             self.outcome.recorded.push((now, record.state));
-            self.heard = Some(now + HEARD);
+            self.announced_at = Some(now + PROPAGATION_TIME);
         }
     }
 
-    fn tell_orders(&mut self) {
+    fn announce_orders(&mut self) {
         let now = self.fleet.now;
         let orders = Rollouts { revision: self.order.revision, orders: vec![self.order.clone()] };
         self.fleet.routers.values_mut().for_each(|router| router.on_rollouts(now, &orders));
@@ -215,20 +222,20 @@
 }
 
 fn check(case: Case) -> Outcome {
-    let outcome = Play::new(case).run();
+    let outcome = Simulation::new(case).run();
     let states: Vec<RolloutState> = outcome.recorded.iter().map(|(_, state)| *state).collect();
     let is_good = case.version == Version::Good;
     let last = if is_good { RolloutState::Completed } else { RolloutState::Reverted };
-    // A version may be found bad before anything was recorded.
+    // A version may be reverted before any progress is recorded.
     let is_in_order = states == [RolloutState::InProgress, last] || (!is_good && states == [last]);
     assert!(is_in_order, "{case:?} {outcome:?}");
     let ended = outcome.recorded[states.len() - 1].0;
-    assert!(ended.since(at(ORDERED)) < DURATION, "{case:?} ended at {ended:?}");
+    assert!(ended.since(at(ORDERED_AT_MILLIS)) < DURATION, "{case:?} ended at {ended:?}");
     if !is_good {
-        let most = outcome.sent as f64 * SHARE + BURST;
-        assert!(outcome.sent_to_new as f64 <= most, "{case:?} {outcome:?}");
+        let max = outcome.sent as f64 * MAX_FRACTION + MAX_BURST;
+        assert!(outcome.sent_to_new as f64 <= max, "{case:?} {outcome:?}");
         if let Some(alarm) = outcome.alarm {
-            assert!(outcome.last_sent_to_new <= alarm + ROLLBACK, "{case:?} {outcome:?}");
+            assert!(outcome.last_sent_to_new <= alarm + ROLLBACK_TIME, "{case:?} {outcome:?}");
         }
     }
     outcome
@@ -243,7 +250,7 @@
 }
 
 #[test]
-fn a_good_version_takes_all_before_the_order_ends() {
+fn a_good_version_gets_all_requests_before_the_order_ends() {
     for routers in [1, 8, 62] {
         let outcome = check(case(routers, Version::Good));
         assert!(outcome.sent_to_new > 100, "{outcome:?}");
@@ -260,20 +267,20 @@
 }
 
 #[test]
-fn badness_on_one_route_or_late_is_found() {
+fn failures_on_one_route_or_late_are_detected() {
     for version in [fails(0.7, 0, true), fails(0.6, 6, false)] {
         check(case(8, version));
     }
 }
 
-/// A bad day of everyone is no bad version.
+/// Failures that affect both versions must not cause a rollback.
 #[test]
-fn failures_of_both_versions_are_not_held_against_the_new_one() {
+fn failures_of_both_versions_do_not_revert_the_new_one() {
     check(Case { failing_everywhere: 0.3, ..case(8, Version::Good) });
 }
 
 #[test]
-fn another_router_records_where_one_is_lost() {
+fn another_router_takes_over_recording() {
     for after in [0, 5_000, 10_000] {
         let recorder_lost = Some(Duration::from_millis(after));
         check(Case { recorder_lost, ..case(8, Version::Good) });
@@ -281,9 +288,10 @@
     }
 }
 
-/// A restored source may have lost that the order came to its end: it stays so, and is recorded again.
+/// A restored source may have lost the final state of an order. It stays in effect and is recorded
+/// again.
 #[test]
-fn an_end_that_the_source_lost_is_not_taken_back() {
+fn a_final_state_that_the_source_lost_stays_in_effect() {
     let mut fleet = Fleet::new(1);
     fleet.router(0).on_back_ends(at(0), &back_ends());
     let orders = |era: u64, state| {
@@ -333,7 +341,7 @@
 }
 
 #[test]
-fn whatever_the_version_and_the_fleet_the_bounds_hold() {
+fn bounds_hold_for_any_version_and_fleet() {
     fn holds(case: Case) -> bool {
         check(case);
         true
--- a/crates/routing/tests/shares.rs
+++ b/crates/routing/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Max-min shares.
+//! Max-min fair shares, and the request rates of tenants that they are computed from.
 
 use mastbay_routing::{Usage, water_level};
 use mastbay_types::Timestamp;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 quickcheck! {
-    fn the_level_shares_out_the_capacity(demands: Vec<u16>, capacity: u16) -> TestResult {
+    fn the_level_distributes_the_whole_capacity(demands: Vec<u16>, capacity: u16) -> TestResult {
         let mut demands: Vec<f64> = demands.into_iter().map(f64::from).collect();
         let capacity = f64::from(capacity);
         let asked: f64 = demands.iter().sum();
@@ -21,17 +21,17 @@
 }
 
 #[test]
-fn the_largest_demand_alone_is_cut() {
+fn only_the_largest_demand_is_cut() {
     assert_eq!(water_level(&mut [10.0, 100.0, 20.0], 80.0), 50.0);
 }
 
-/// A router that has just started knows a tenant's rate within a second, though its window is longer.
+/// A router that has just started must not report too low rates while its window fills.
 #[test]
-fn a_window_that_is_not_full_yet_tells_the_whole_rate() {
+fn a_partly_filled_window_yields_the_full_rate() {
     let tenant: Arc<str> = Arc::from("hot");
     let mut usage = Usage::new(Duration::from_secs(4));
-    for turn in 0..=100 {
-        usage.on_asked(Timestamp::from_millis(5_000 + turn * 10), &tenant, 1_000);
+    for index in 0..=100 {
+        usage.on_asked(Timestamp::from_millis(5_000 + index * 10), &tenant, 1_000);
     }
     let reports = usage.reports(Timestamp::from_millis(6_000));
     let asked = f64::from(reports[0].asked);
--- /dev/null
+++ b/crates/routing/tests/stall.rs
@@ -0,0 +1,59 @@
+//! After a stall of the router, messages and known versions may be older than they seem.
+
+use mastbay_routing::StallDetector;
+use mastbay_types::Timestamp;
+use std::time::Duration;
+
+const BOUND: Duration = Duration::from_secs(2);
+
+fn at(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
+}
+
+/// Returns a detector with ticks every 20 ms until the given time.
+fn running_until(millis: u64) -> StallDetector {
+    let mut detector = StallDetector::default();
+    for tick in (20..=millis).step_by(20) {
+        assert_eq!(detector.on_tick(at(tick)), None);
+    }
+    detector
+}
+
+#[test]
+fn messages_read_right_after_a_stall_may_have_arrived_at_its_beginning() {
+    let mut detector = running_until(1_000);
+    assert_eq!(detector.earliest_arrival(at(1_010)), at(1_010));
+    // A request may be read before the first tick after the stall.
+    assert_eq!(detector.earliest_arrival(at(6_000)), at(1_000));
+    assert_eq!(detector.on_tick(at(6_000)), Some(Duration::from_secs(5)));
+    assert_eq!(detector.earliest_arrival(at(6_100)), at(1_000));
+    for tick in (6_020..=6_200).step_by(20) {
+        detector.on_tick(at(tick));
+    }
+    assert_eq!(detector.earliest_arrival(at(6_200)), at(6_200));
+}
+
+#[test]
+fn lateness_of_a_busy_router_is_no_stall() {
+    let mut detector = running_until(1_000);
+    assert_eq!(detector.on_tick(at(1_900)), None);
+    assert_eq!(detector.earliest_arrival(at(1_910)), at(1_910));
+}
+
+#[test]
+fn requests_wait_for_updates_after_a_stall_longer_than_the_bound() {
+    let mut short = running_until(1_000);
+    short.on_tick(at(2_500));
+    assert!(!short.may_be_outdated(at(2_510), BOUND));
+    let mut long = running_until(1_000);
+    assert!(long.may_be_outdated(at(6_000), BOUND), "before any tick");
+    long.on_tick(at(6_000));
+    assert!(long.may_be_outdated(at(6_100), BOUND));
+    // Messages read right after the stall were sent during it.
+    long.on_contact(at(6_010));
+    assert!(!long.has_contact_since_stall(at(6_100)));
+    long.on_contact(at(6_200));
+    assert!(long.has_contact_since_stall(at(6_210)));
+    // Without any contact the router continues with the known versions, as if it were cut off.
+    assert!(!long.may_be_outdated(at(6_700), BOUND));
+}
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! Routes and keys are found in the configuration in force.
+//! Lookups of routes by host and path, and of tenants by key.
 
 use mastbay_routing::{
     AllowedRegions, Route, RouteKind, RouteTable, RoutingConfiguration, Target, Tenant,
@@ -44,18 +44,18 @@
     })
 }
 
-fn found(host: &str, path: &str) -> Option<String> {
+fn find_route(host: &str, path: &str) -> Option<String> {
     table().route(host, path).map(|entry| entry.route.name.clone())
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    assert_eq!(found("a.example", "/x/1").as_deref(), Some("short"));
-    assert_eq!(found("A.Example:8080", "/x/y/1").as_deref(), Some("long"));
-    assert_eq!(found("b.example", "/x/y/1").as_deref(), Some("other"));
-    assert_eq!(found("a.example", "/z/"), None);
-    assert_eq!(found("c.example", "/x/"), None);
-    assert_eq!(found("a.example", "/x"), None);
+    assert_eq!(find_route("a.example", "/x/1").as_deref(), Some("short"));
+    assert_eq!(find_route("A.Example:8080", "/x/y/1").as_deref(), Some("long"));
+    assert_eq!(find_route("b.example", "/x/y/1").as_deref(), Some("other"));
+    assert_eq!(find_route("a.example", "/z/"), None);
+    assert_eq!(find_route("c.example", "/x/"), None);
+    assert_eq!(find_route("a.example", "/x"), None);
 }
 
 #[test]
