--- a/crates/configuration/src/difference.rs
+++ b/crates/configuration/src/difference.rs
@@ -1,4 +1,4 @@
-//! What changes between two configurations.
+//! Differences between two configurations.
 
 use crate::fleet::FleetConfiguration;
 use derive_more::Display;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Display as TextForm;
 
-/// The kind of thing that changes.
+/// Kind of entry that changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Subject {
@@ -21,49 +21,49 @@
     Backend,
 }
 
-/// How it changes.
+/// Kind of change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
-    /// It is new.
+    /// The entry is new.
     #[display("added")]
     Added,
-    /// It is gone.
+    /// The entry no longer exists.
     #[display("removed")]
     Removed,
-    /// Some of its values differ.
+    /// Some values of the entry differ.
     #[display("changed")]
     Changed,
 }
 
-/// One change.
+/// A change of one entry.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize)]
 #[display("{kind} {subject} {name}{}", detail.as_ref().map(|detail| format!(": {detail}")).unwrap_or_default())]
 pub struct Difference {
-    /// What kind of thing changes.
+    /// Kind of the entry.
     pub subject: Subject,
-    /// Its name.
+    /// Name of the entry.
     pub name: String,
-    /// How it changes.
+    /// Kind of the change.
     pub kind: ChangeKind,
-    /// For a changed entry, its values before and after, in JSON.
+    /// The changed values before and after, in JSON; `None` for added and removed entries.
     pub detail: Option<String>,
 }
 
-/// All changes from `before` to `after`.
+/// Returns all changes from `before` to `after`.
 pub fn differences(before: &FleetConfiguration, after: &FleetConfiguration) -> Vec<Difference> {
-    let mut found = Vec::new();
-    compare(Subject::Tenant, &before.tenants, &after.tenants, &mut found);
-    compare(Subject::Service, &before.services, &after.services, &mut found);
-    compare(Subject::Backend, &before.backends, &after.backends, &mut found);
-    found
+    let mut changes = Vec::new();
+    compare(Subject::Tenant, &before.tenants, &after.tenants, &mut changes);
+    compare(Subject::Service, &before.services, &after.services, &mut changes);
+    compare(Subject::Backend, &before.backends, &after.backends, &mut changes);
+    changes
 }
 
 fn compare<N: Ord + TextForm, E: PartialEq + Serialize>(
     subject: Subject,
     before: &BTreeMap<N, E>,
     after: &BTreeMap<N, E>,
-    found: &mut Vec<Difference>,
+    changes: &mut Vec<Difference>,
 ) {
     for (name, entry) in after {
         let (kind, detail) = match before.get(name) {
@@ -71,11 +71,11 @@
             Some(previous) if previous == entry => continue,
             Some(previous) => (ChangeKind::Changed, Some(changed_values(previous, entry))),
         };
-        found.push(Difference { subject, name: name.to_string(), kind, detail });
+        changes.push(Difference { subject, name: name.to_string(), kind, detail });
     }
     for name in before.keys().filter(|name| !after.contains_key(name)) {
         let (name, kind) = (name.to_string(), ChangeKind::Removed);
-        found.push(Difference { subject, name, kind, detail: None });
+        changes.push(Difference { subject, name, kind, detail: None });
     }
 }
 
--- a/crates/configuration/src/fleet.rs
+++ b/crates/configuration/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The configuration's types.
+//! Types of the fleet's configuration.
 
 use derive_more::{Display, Error};
 use mastbay_types::{BackendName, ServiceName, TenantName, Weight};
@@ -9,18 +9,18 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// SHA-256 of a caller's key. Keys themselves are never stored.
+/// SHA-256 digest of a caller's key. Keys themselves are never stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// The digest's bytes.
+    /// Returns the bytes of the digest.
     pub fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// Text that is no key digest.
+/// Error for text that is not a key digest.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("a key digest is the SHA-256 of the key in 64 hexadecimal digits")]
 pub struct KeyDigestError;
@@ -61,74 +61,74 @@
     }
 }
 
-/// A group that shares the fleet.
+/// A group of callers with a share of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Share relative to other tenants.
+    /// Share of capacity relative to other tenants.
     pub weight: Weight,
-    /// Digests of the keys that its callers show.
+    /// Digests of the keys of its callers.
     pub keys: Vec<KeyDigest>,
-    /// Most requests that may wait in one gateway.
+    /// Maximum number of requests that wait at one gateway.
     pub most_waiting: u32,
 }
 
-/// How a service is called and how its cost is counted.
+/// Interface of a service and unit of its cost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceKind {
-    /// A model behind the chat-completions interface; cost in tokens.
+    /// A model with the chat-completions interface; cost in tokens.
     Model {
-        /// The name that callers give as `model`.
+        /// Value of `model` in requests.
         model: String,
     },
-    /// Any HTTP under a path prefix; cost in milliseconds.
+    /// Any HTTP requests below a path prefix; cost in milliseconds.
     Plain {
-        /// The prefix, such as `/permits`.
+        /// Path prefix, such as `/permits`.
         prefix: String,
     },
 }
 
-/// What happens to a request with an idempotency key while claims cannot be kept.
+/// Handling of requests with an idempotency key while claims cannot be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimPolicy {
-    /// It is refused as not run: a repeat through another gateway never runs twice.
+    /// Refuse them as not run: a repeat through another gateway never runs twice.
     Required,
-    /// It runs: no call is lost, but a repeat through another gateway may run twice.
+    /// Run them without a claim: a repeat through another gateway may run twice.
     WhenAvailable,
 }
 
-/// A service that callers may ask for.
+/// A service for callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// How it is called.
+    /// Interface of the service.
     pub kind: ServiceKind,
-    /// Whether a request may be sent again when it may have run.
+    /// Whether a request may be sent again if it may have run.
     pub repeatable: bool,
-    /// What happens while claims cannot be kept.
+    /// Handling of idempotent requests while claims cannot be stored.
     pub claims: ClaimPolicy,
-    /// Time a request has if its caller names none.
+    /// Default time until the deadline of a request.
     pub deadline: Duration,
-    /// Grants beyond the slots of each back end; `None` lets the scheduler learn how many.
+    /// Number of grants beyond the slots of each back end; `None` if the scheduler determines it.
     pub ahead: Option<u32>,
 }
 
-/// A process that runs requests.
+/// A back end process that runs requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// The service it runs.
+    /// The service that it runs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it checks the epoch of those who give it orders.
+    /// Whether it checks the epoch (fencing token) of schedulers.
     pub checks_fences: bool,
-    /// Whether it is to get no new work.
+    /// Whether it is drained: it gets no new requests.
     pub leaving: bool,
 }
 
-/// A whole configuration.
+/// The configuration of the whole fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct FleetConfiguration {
     /// Tenants by name.
@@ -140,7 +140,7 @@
 }
 
 impl FleetConfiguration {
-    /// The back ends of a service.
+    /// Returns the back ends of a service.
     pub fn backends_of<'a>(
         &'a self,
         service: &'a ServiceName,
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,9 +1,10 @@
 //! The fleet's configuration: tenants, services and back ends, declared in a directory of INI files
 //! and applied as a whole.
 //!
-//! - [`load_directory`] reads and checks a directory and reports every fault at once.
-//! - [`FleetConfiguration::to_parts`] cuts a configuration into immutable parts named by their hash,
-//!   so that a small change makes few new parts; a [`Root`] lists them under a generation number.
+//! - [`load_directory`] reads and validates a directory and reports all faults together.
+//! - [`FleetConfiguration::to_parts`] splits a configuration into immutable parts named by their
+//!   hash, so that a small change creates few new parts; a [`Root`] lists the parts of a
+//!   generation.
 //! - [`differences`] compares two configurations for operators.
 
 mod difference;
--- a/crates/configuration/src/load.rs
+++ b/crates/configuration/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a directory of INI files.
+//! Loads and validates a directory of INI files.
 
 use crate::fleet::{
     Backend, ClaimPolicy, FleetConfiguration, KeyDigest, Service, ServiceKind, Tenant,
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why a directory is no configuration.
+/// Error of loading a configuration.
 #[derive(Debug, Display, Error)]
 pub enum DirectoryError {
     /// The directory could not be listed.
@@ -24,7 +24,7 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The directory holds no `.ini` file.
+    /// The directory contains no `.ini` file.
     #[display("{}: holds no .ini file", path.display())]
     Empty {
         /// The directory.
@@ -38,10 +38,10 @@
     Faults(Faults),
 }
 
-const DEFAULT_MOST_WAITING: u64 = 10_000;
+const DEFAULT_MAX_WAITING: u64 = 10_000;
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
-/// Reads all `.ini` files of a directory, in order of their names, as one configuration.
+/// Loads all `.ini` files of a directory, sorted by name, as one configuration.
 pub fn load_directory(path: &Path) -> Result<FleetConfiguration, DirectoryError> {
     let unlistable = |source| DirectoryError::Unlistable { path: path.to_path_buf(), source };
     let mut files = Vec::new();
@@ -63,7 +63,7 @@
     load_documents(&documents).map_err(DirectoryError::Faults)
 }
 
-/// Reads documents as one configuration.
+/// Loads documents as one configuration.
 pub fn load_documents(documents: &[Document]) -> Result<FleetConfiguration, Faults> {
     let mut loader = Loader::default();
     for document in documents {
@@ -73,9 +73,9 @@
     loader.faults.into_result(Some(loader.configuration))
 }
 
-/// Where something was declared, for faults found after reading.
+/// Location of a declaration, for faults detected after reading.
 #[derive(Debug, Clone)]
-struct Place<'a> {
+struct Declaration<'a> {
     document: &'a Document,
     section: String,
 }
@@ -84,9 +84,9 @@
 struct Loader<'a> {
     configuration: FleetConfiguration,
     faults: Faults,
-    sections: BTreeMap<String, Place<'a>>,
-    /// Values that only one section may have, with that section.
-    taken: BTreeMap<(&'static str, String), String>,
+    sections: BTreeMap<String, Declaration<'a>>,
+    /// Section of each value that must be unique, by key and value.
+    unique_values: BTreeMap<(&'static str, String), String>,
 }
 
 impl<'a> Loader<'a> {
@@ -96,8 +96,8 @@
                 document.note(&mut self.faults, section, Problem::Duplicate);
                 continue;
             }
-            let place = Place { document, section: section.to_owned() };
-            self.sections.insert(section.to_owned(), place);
+            let declaration = Declaration { document, section: section.to_owned() };
+            self.sections.insert(section.to_owned(), declaration);
             self.read_section(document, section);
         }
     }
@@ -128,9 +128,15 @@
         let mut reader = document.section(section, &mut self.faults);
         let weight = reader.or("weight", Bounded::<1, 10_000>(1));
         let keys: Vec<DigestValue> = reader.list("key-sha256");
-        let most_waiting = reader.or("most-waiting", Bounded::<1, 1_000_000>(DEFAULT_MOST_WAITING));
+        let most_waiting = reader.or("most-waiting", Bounded::<1, 1_000_000>(DEFAULT_MAX_WAITING));
         for key in &keys {
-            claim_value(&mut self.taken, &mut reader, section, "key-sha256", key.0.to_string());
+            check_unique(
+                &mut self.unique_values,
+                &mut reader,
+                section,
+                "key-sha256",
+                key.0.to_string(),
+            );
         }
         if keys.is_empty() {
             reader.fault("key-sha256", Problem::Missing { expected: DigestValue::EXPECTED });
@@ -152,7 +158,7 @@
                 ServiceKind::Model { model } => ("model", model),
                 ServiceKind::Plain { prefix } => ("path-prefix", prefix),
             };
-            claim_value(&mut self.taken, &mut reader, section, key, value.clone());
+            check_unique(&mut self.unique_values, &mut reader, section, key, value.clone());
         }
         let repeatable = reader.or("repeatable", false);
         let claims: ClaimPolicyValue = reader.or("claims", ClaimPolicyValue(ClaimPolicy::Required));
@@ -174,7 +180,13 @@
         let checks_fences = reader.or("checks-fences", false);
         let leaving = reader.or("leaving", false);
         if let Some(address) = address {
-            claim_value(&mut self.taken, &mut reader, section, "address", address.to_string());
+            check_unique(
+                &mut self.unique_values,
+                &mut reader,
+                section,
+                "address",
+                address.to_string(),
+            );
         }
         reader.finish();
         let (Some(service), Some(address), Some(zone), Some(slots)) =
@@ -199,28 +211,31 @@
             if self.sections.contains_key(&service) {
                 continue;
             }
-            let Some(place) = self.sections.get(&format!("backend {name}")) else {
+            let Some(declaration) = self.sections.get(&format!("backend {name}")) else {
                 continue;
             };
             let problem = Problem::Dangling { kind: "service", name: backend.service.to_string() };
-            place.document.section(&place.section, &mut self.faults).fault("service", problem);
+            declaration
+                .document
+                .section(&declaration.section, &mut self.faults)
+                .fault("service", problem);
         }
     }
 }
 
-/// Notes a fault if another section has the same value for `key`.
-fn claim_value(
-    taken: &mut BTreeMap<(&'static str, String), String>,
+/// Records a fault if another section has the same value for `key`.
+fn check_unique(
+    unique_values: &mut BTreeMap<(&'static str, String), String>,
     reader: &mut SectionReader<'_>,
     section: &str,
     key: &'static str,
     value: String,
 ) {
-    if let Some(other) = taken.get(&(key, value.clone())) {
+    if let Some(other) = unique_values.get(&(key, value.clone())) {
         reader.fault(key, Problem::Taken { value, other: other.clone() });
         return;
     }
-    taken.insert((key, value), section.to_owned());
+    unique_values.insert((key, value), section.to_owned());
 }
 
 fn read_kind(reader: &mut SectionReader<'_>) -> Option<ServiceKind> {
@@ -275,18 +290,18 @@
     }
 }
 
-/// A number of grants ahead, or `auto`.
+/// A number of grants ahead; `None` for `auto`.
 struct AheadValue(Option<u32>);
 
-/// Most grants ahead that may be declared.
-const MOST_AHEAD: u32 = 64;
+/// Maximum number of grants ahead.
+const MAX_AHEAD: u32 = 64;
 
 impl Value for AheadValue {
     const EXPECTED: &'static str = "auto or a whole number from 0 to 64";
 
     fn read(text: &str) -> Result<Self, Expected> {
         match text.parse() {
-            Ok(number) if number <= MOST_AHEAD => Ok(AheadValue(Some(number))),
+            Ok(number) if number <= MAX_AHEAD => Ok(AheadValue(Some(number))),
             _ if text == "auto" => Ok(AheadValue(None)),
             _ => Err(Self::EXPECTED.into()),
         }
@@ -295,7 +310,7 @@
 
 struct PrefixValue(String);
 
-/// Paths below this one are the fleet's own interface to model services.
+/// Path prefix of the interface to model services.
 const RESERVED_PREFIX: &str = "/v1";
 
 impl Value for PrefixValue {
@@ -303,10 +318,10 @@
         "a path such as /permits, without a slash at its end and not below /v1";
 
     fn read(text: &str) -> Result<Self, Expected> {
-        let reserved = text == RESERVED_PREFIX || text.starts_with("/v1/");
-        let plain = |symbol: char| symbol.is_ascii_alphanumeric() || "-_./".contains(symbol);
-        let shaped = text.len() > 1 && text.starts_with('/') && !text.ends_with('/');
-        if reserved || !shaped || !text.chars().all(plain) {
+        let is_reserved = text == RESERVED_PREFIX || text.starts_with("/v1/");
+        let is_allowed = |symbol: char| symbol.is_ascii_alphanumeric() || "-_./".contains(symbol);
+        let is_well_formed = text.len() > 1 && text.starts_with('/') && !text.ends_with('/');
+        if is_reserved || !is_well_formed || !text.chars().all(is_allowed) {
             return Err(Self::EXPECTED.into());
         }
         Ok(PrefixValue(text.to_owned()))
--- a/crates/configuration/src/parts.rs
+++ b/crates/configuration/src/parts.rs
@@ -1,4 +1,4 @@
-//! Immutable parts named by their hash, and the root that lists them.
+//! Content-addressed parts of a configuration, and the root that lists them.
 
 use crate::fleet::FleetConfiguration;
 use derive_more::{Display, Error};
@@ -7,7 +7,7 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// Position of a configuration in the order of those accepted; zero is "none yet".
+/// Generation number of an accepted configuration; zero before the first one.
 #[derive(
     Debug,
     Clone,
@@ -25,7 +25,7 @@
 pub struct Generation(pub u64);
 
 impl Generation {
-    /// The one after this.
+    /// Returns the following generation.
     pub fn next(self) -> Generation {
         Generation(self.0 + 1)
     }
@@ -36,73 +36,73 @@
 pub struct PartHash(String);
 
 impl PartHash {
-    /// The hash as text.
+    /// Returns the hash as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// A piece of a configuration.
+/// An immutable part of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Its bytes, a JSON form of a [`FleetConfiguration`] that holds some entries.
+    /// JSON of a [`FleetConfiguration`] with some of the entries.
     pub bytes: Vec<u8>,
 }
 
 impl Part {
-    /// The part's name.
+    /// Returns the hash of the bytes, by which the part is stored.
     pub fn hash(&self) -> PartHash {
         PartHash(hex::encode(Sha256::digest(&self.bytes)))
     }
 }
 
-/// What is in force: a generation and the parts that make it up.
+/// A generation of the configuration and its parts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Root {
-    /// Position in the order of accepted configurations.
+    /// Generation number.
     pub generation: Generation,
-    /// Drawn anew for each try to apply, so that the one who applied can tell whether a write
-    /// whose answer was lost took effect.
+    /// Random identifier of an attempt to apply; shows whether a write whose answer was lost took
+    /// effect.
     pub apply_id: String,
-    /// The `apply_id`s accepted before, the latest first, [`Root::REMEMBERED`] at most: tells one
-    /// whose write was accepted and soon replaced that it was.
+    /// Earlier accepted `apply_id`s, latest first, at most [`Root::MAX_PREVIOUS`]; show whether a
+    /// write was accepted that was soon replaced.
     pub previous: Vec<String>,
-    /// The parts.
+    /// Hashes of the parts.
     pub parts: Vec<PartHash>,
 }
 
 impl Root {
-    /// Number of earlier `apply_id`s that a root remembers.
-    pub const REMEMBERED: usize = 64;
+    /// Maximum number of earlier `apply_id`s in a root.
+    pub const MAX_PREVIOUS: usize = 64;
 
-    /// The root that follows `current`.
+    /// Creates the root that follows `current`.
     pub fn following(current: Option<&Root>, apply_id: String, parts: Vec<PartHash>) -> Root {
         let generation = current.map_or(Generation::default(), |root| root.generation).next();
         let mut previous = Vec::new();
         if let Some(root) = current {
             previous.push(root.apply_id.clone());
             previous.extend(root.previous.iter().cloned());
-            previous.truncate(Self::REMEMBERED);
+            previous.truncate(Self::MAX_PREVIOUS);
         }
         Root { generation, apply_id, previous, parts }
     }
 
-    /// Whether the try `apply_id` was accepted, now or among those remembered.
+    /// Returns whether the attempt `apply_id` was accepted in this or a listed earlier generation.
     pub fn includes(&self, apply_id: &str) -> bool {
         self.apply_id == apply_id || self.previous.iter().any(|earlier| earlier == apply_id)
     }
 }
 
-/// Why parts do not make up a configuration.
+/// Error of assembling a configuration from parts.
 #[derive(Debug, Display, Error)]
 pub enum AssembleError {
-    /// A part that the root lists is not there.
+    /// A part that the root lists is missing.
     #[display("part {hash} is missing")]
     Missing {
         /// The part.
         hash: PartHash,
     },
-    /// A part's bytes are no configuration.
+    /// A part cannot be decoded.
     #[display("part {hash} cannot be read: {source}")]
     Unreadable {
         /// The part.
@@ -112,17 +112,18 @@
     },
 }
 
-/// Entries aimed at for each part: small enough that one change moves a few kilobytes.
+/// Target number of entries per part; keeps parts at a few kilobytes.
 const ENTRIES_PER_PART: usize = 32;
 
 impl FleetConfiguration {
-    /// Cuts the configuration into parts. Which part an entry falls into depends on its name and,
-    /// in steps of two, on the number of entries, so most parts outlive a small change.
+    /// Splits the configuration into parts. The part of an entry depends on the hash of its name
+    /// and on the number of buckets, a power of two, so a small change leaves most parts as they
+    /// are.
     pub fn to_parts(&self) -> Vec<Part> {
         let entries = self.tenants.len() + self.services.len() + self.backends.len();
-        let buckets = entries.div_ceil(ENTRIES_PER_PART).next_power_of_two() as u64;
+        let bucket_count = entries.div_ceil(ENTRIES_PER_PART).next_power_of_two() as u64;
         let mut parts: BTreeMap<u64, FleetConfiguration> = BTreeMap::new();
-        let bucket = |name: &str| stable_hash(&[name.as_bytes()]) % buckets;
+        let bucket = |name: &str| stable_hash(&[name.as_bytes()]) % bucket_count;
         for (name, tenant) in &self.tenants {
             let part = parts.entry(bucket(name.as_str())).or_default();
             part.tenants.insert(name.clone(), tenant.clone());
@@ -138,26 +139,26 @@
         parts.values().map(encode).collect()
     }
 
-    /// Puts a configuration together from the parts that `root` lists.
+    /// Assembles the configuration from the parts that `root` lists.
     pub fn assemble(
         root: &Root,
         parts: &BTreeMap<PartHash, Part>,
     ) -> Result<FleetConfiguration, AssembleError> {
-        let mut whole = FleetConfiguration::default();
+        let mut configuration = FleetConfiguration::default();
         for hash in &root.parts {
             let part =
                 parts.get(hash).ok_or_else(|| AssembleError::Missing { hash: hash.clone() })?;
-            let piece: FleetConfiguration = serde_json::from_slice(&part.bytes)
+            let partial: FleetConfiguration = serde_json::from_slice(&part.bytes)
                 .map_err(|source| AssembleError::Unreadable { hash: hash.clone(), source })?;
-            whole.tenants.extend(piece.tenants);
-            whole.services.extend(piece.services);
-            whole.backends.extend(piece.backends);
+            configuration.tenants.extend(partial.tenants);
+            configuration.services.extend(partial.services);
+            configuration.backends.extend(partial.backends);
         }
-        Ok(whole)
+        Ok(configuration)
     }
 }
 
-fn encode(piece: &FleetConfiguration) -> Part {
-    // These types hold nothing that JSON cannot: string keys and plain values only.
-    Part { bytes: serde_json::to_vec(piece).unwrap_or_default() }
+fn encode(partial: &FleetConfiguration) -> Part {
+    // Serialization cannot fail: the types contain only string keys and plain values.
+    Part { bytes: serde_json::to_vec(partial).unwrap_or_default() }
 }
--- a/crates/configuration/src/tests.rs
+++ b/crates/configuration/src/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn parts_make_up_the_same_configuration_and_outlive_a_small_change() {
+fn parts_assemble_to_the_same_configuration_and_most_survive_a_small_change() {
     let mut configuration = load(&fleet(400)).expect("valid");
     let before = configuration.to_parts();
     let root = Root {
@@ -32,13 +32,13 @@
         parts: before.iter().map(|part| part.hash()).collect(),
     };
     let by_hash: BTreeMap<_, _> = before.iter().map(|part| (part.hash(), part.clone())).collect();
-    let again = FleetConfiguration::assemble(&root, &by_hash).expect("all parts");
-    assert_eq!(again, configuration);
+    let assembled = FleetConfiguration::assemble(&root, &by_hash).expect("all parts");
+    assert_eq!(assembled, configuration);
 
     configuration.tenants.values_mut().next().expect("a tenant").most_waiting = 3;
     let known: BTreeSet<_> = by_hash.keys().cloned().collect();
     let new = configuration.to_parts().iter().filter(|part| !known.contains(&part.hash())).count();
-    assert_eq!(new, 1, "one changed entry makes one new part");
+    assert_eq!(new, 1, "one changed entry creates one new part");
 }
 
 #[test]
@@ -53,8 +53,8 @@
          [tenant bad name!]\n[what]\n"
     );
     let found = load(&text).expect_err("faults");
-    let expect = [
-        "[tenant b] stands more than once",
+    let expected = [
+        "[tenant b] appears more than once",
         "[tenant a] weight: expected a whole number from 1 to 10000, found '0'",
         "is already taken by [tenant a]",
         "[service s] path-prefix: expected a path such as /permits",
@@ -62,14 +62,14 @@
         "[what] unknown section; known here: tenant NAME",
         "[backend x] service: no service 'nowhere' is declared",
     ];
-    for text in expect {
+    for text in expected {
         assert!(found.iter().any(|fault| fault.contains(text)), "{text} not in {found:#?}");
     }
-    assert_eq!(found.len(), expect.len(), "{found:#?}");
+    assert_eq!(found.len(), expected.len(), "{found:#?}");
 }
 
 #[test]
-fn differences_name_what_changes() {
+fn differences_name_the_changed_entries() {
     let before = load(&fleet(2)).expect("valid");
     let mut after = before.clone();
     after.tenants.values_mut().next().expect("a tenant").most_waiting = 3;
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! An INI file and the readers of its sections.
+//! Parsed INI files and the readers of their sections.
 
 use crate::fault::{Fault, Faults, Problem};
 use crate::value::Value;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Why a file could not be read at all.
+/// Error of reading or parsing a file.
 #[derive(Debug, Display, Error)]
 pub enum LoadError {
     /// The file could not be opened or is not UTF-8 text.
@@ -18,7 +18,7 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The file is not in INI form.
+    /// The file is not valid INI.
     #[display("{file}: not in INI form: {source}")]
     Syntax {
         /// The file.
@@ -42,7 +42,7 @@
 }
 
 impl Document {
-    /// Reads a file.
+    /// Reads and parses a file.
     pub fn load(path: &Path) -> Result<Self, LoadError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reads INI text; `file` is used in errors.
+    /// Parses INI text; `file` is named in errors.
     pub fn parse(file: &str, text: &str) -> Result<Self, LoadError> {
         let option =
             ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
@@ -63,25 +63,25 @@
             for (key, value) in properties.iter() {
                 entries.entry(key.to_owned()).or_default().push(value.trim().to_owned());
             }
-            let general_and_empty = name.is_none() && entries.is_empty();
-            if !general_and_empty {
+            let is_empty_general = name.is_none() && entries.is_empty();
+            if !is_empty_general {
                 sections.push(Section { name: name.unwrap_or_default().to_owned(), entries });
             }
         }
         Ok(Self { file: file.to_owned(), sections })
     }
 
-    /// The file's name as used in errors.
+    /// Returns the name of the file as shown in errors.
     pub fn file(&self) -> &str {
         &self.file
     }
 
-    /// Names of the sections in the order of the file, repeated where they stand twice.
+    /// Returns the names of the sections in file order, including duplicates.
     pub fn section_names(&self) -> impl Iterator<Item = &str> {
         self.sections.iter().map(|section| section.name.as_str())
     }
 
-    /// Notes a fault for each section that `known` does not list and for each that stands twice.
+    /// Records a fault for each unknown and each duplicate section.
     pub fn check_sections(&self, known: &[&str], faults: &mut Faults) {
         let mut seen: Vec<&str> = Vec::new();
         for name in self.section_names() {
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Notes a fault with a whole section.
+    /// Records a fault of a whole section.
     pub fn note(&self, faults: &mut Faults, section: &str, problem: Problem) {
         let fault =
             Fault { file: self.file.clone(), section: section.to_owned(), key: None, problem };
         faults.list.push(fault);
     }
 
-    /// A reader of the section `name`, which is empty if it does not stand in the file.
+    /// Returns a reader of the section `name`. A missing section reads as an empty one.
     pub fn section<'a>(&'a self, name: &'a str, faults: &'a mut Faults) -> SectionReader<'a> {
         let entries =
             self.sections.iter().find(|section| section.name == name).map(|found| &found.entries);
@@ -110,7 +110,7 @@
     }
 }
 
-/// Reads the keys of one section and collects what is wrong with them.
+/// Reads the keys of one section and collects their faults.
 #[derive(Debug)]
 pub struct SectionReader<'a> {
     file: &'a str,
@@ -121,7 +121,7 @@
 }
 
 impl SectionReader<'_> {
-    /// A key that must be there.
+    /// Reads a required key. Returns `None` and records a fault if it is missing or invalid.
     pub fn required<T: Value>(&mut self, key: &'static str) -> Option<T> {
         let before = self.faults.list.len();
         let value = self.optional(key);
@@ -131,7 +131,7 @@
         value
     }
 
-    /// A key that may be left out.
+    /// Reads an optional key. Returns `None` if it is missing, or if it is invalid, with a fault.
     pub fn optional<T: Value>(&mut self, key: &'static str) -> Option<T> {
         let text = self.text(key)?.to_owned();
         match T::read(&text) {
@@ -143,12 +143,13 @@
         }
     }
 
-    /// A key that has a default; also given where the value is faulty, so that reading goes on.
+    /// Reads a key with a default, which is also returned for an invalid value, with a fault.
     pub fn or<T: Value>(&mut self, key: &'static str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
-    /// A comma-separated list; empty if the key is left out.
+    /// Reads a comma-separated list, which is empty if the key is missing. Invalid items are left
+    /// out, with a fault for each.
     pub fn list<T: Value>(&mut self, key: &'static str) -> Vec<T> {
         let Some(text) = self.text(key).map(str::to_owned) else {
             return Vec::new();
@@ -166,7 +167,7 @@
         values
     }
 
-    /// Notes a fault with one key.
+    /// Records a fault of one key.
     pub fn fault(&mut self, key: &str, problem: Problem) {
         self.faults.list.push(Fault {
             file: self.file.to_owned(),
@@ -176,7 +177,7 @@
         });
     }
 
-    /// Notes a fault for each key that was never asked for.
+    /// Records a fault for each key of the section that was never read.
     pub fn finish(mut self) {
         let Some(entries) = self.entries else { return };
         let known = self.known.join(", ");
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,68 +1,68 @@
-//! What can be wrong with a settings file.
+//! Faults of settings files.
 
 use derive_more::{Display, Error};
 use std::fmt;
 
-/// What is wrong in one place.
+/// Kind of a fault.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Problem {
     /// The key is not known in this section.
     #[display("unknown key; known here: {known}")]
     UnknownKey {
-        /// The keys that may stand here.
+        /// The valid keys.
         known: String,
     },
     /// The section is not known in this file.
     #[display("unknown section; known here: {known}")]
     UnknownSection {
-        /// The sections that may stand here.
+        /// The valid sections.
         known: String,
     },
-    /// A key or section that must be there is missing.
+    /// A required key or section is missing.
     #[display("missing; expected {expected}")]
     Missing {
-        /// What should stand there.
+        /// Description of valid values.
         expected: &'static str,
     },
-    /// The value has the wrong form or is out of range.
+    /// The value is malformed or out of range.
     #[display("expected {expected}, found '{found}'")]
     Invalid {
-        /// What should stand there.
+        /// Description of valid values.
         expected: String,
-        /// What stands there.
+        /// The value found.
         found: String,
     },
-    /// The key or section stands more than once.
-    #[display("stands more than once")]
+    /// The key or section appears more than once.
+    #[display("appears more than once")]
     Duplicate,
-    /// Refers to something that is not declared.
+    /// A reference to something that is not declared.
     #[display("no {kind} '{name}' is declared")]
     Dangling {
-        /// The kind of thing referred to.
+        /// Kind of the referenced item.
         kind: &'static str,
-        /// Its name.
+        /// Name of the referenced item.
         name: String,
     },
-    /// Clashes with another declaration.
+    /// The value must be unique but another section has it too.
     #[display("'{value}' is already taken by [{other}]")]
     Taken {
-        /// The value that stands twice.
+        /// The duplicate value.
         value: String,
-        /// The section that has it too.
+        /// The other section.
         other: String,
     },
 }
 
-/// A problem and its place.
+/// A problem and its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The file as given by the user.
+    /// Path of the file as given by the user.
     pub file: String,
-    /// The section; empty for the part above the first section.
+    /// Name of the section; empty for keys before the first section.
     pub section: String,
-    /// The key, if the problem is with one.
+    /// The key; `None` if the fault concerns the whole section.
     pub key: Option<String>,
-    /// What is wrong.
+    /// Kind and details of the fault.
     pub problem: Problem,
 }
 
@@ -76,15 +76,15 @@
     }
 }
 
-/// All faults found, one line each when shown.
+/// All faults found, displayed as one line each.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Error)]
 pub struct Faults {
-    /// The faults in the order in which they were found.
+    /// The faults in the order of detection.
     pub list: Vec<Fault>,
 }
 
 impl Faults {
-    /// `value` if nothing was found wrong, otherwise the faults.
+    /// Returns `value` if it is present and there are no faults, otherwise the faults.
     pub fn into_result<T>(self, value: Option<T>) -> Result<T, Faults> {
         match value {
             Some(value) if self.list.is_empty() => Ok(value),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Checked INI files: every fault names its file, section and key and what was expected, and all
-//! faults of a file are found in one go.
+//! Validated INI files. All faults of a file are reported together, each with its file, section,
+//! key and the expected value.
 //!
 //! ```
 //! use mastbay_settings::{Document, Faults};
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn all_faults_are_found_in_one_go() {
+fn all_faults_are_reported_together() {
     let text = "[peer]\naddress = nowhere\nport = 5\nlimit = 70\nlimit = 7\nidle = 5 days\n\
                 [peer]\n[extra]\n";
     let found = faults_of(text, |document, faults| {
@@ -25,10 +25,10 @@
     assert_eq!(
         found,
         [
-            "test.ini: [peer] stands more than once",
+            "test.ini: [peer] appears more than once",
             "test.ini: [extra] unknown section; known here: peer",
             "test.ini: [peer] address: expected an address such as 127.0.0.1:8080, found 'nowhere'",
-            "test.ini: [peer] limit: stands more than once",
+            "test.ini: [peer] limit: appears more than once",
             "test.ini: [peer] limit: expected a whole number from 1 to 64, found '70'",
             "test.ini: [peer] idle: expected a time from 1ms to 1000ms, such as 250ms or 3s, \
              found '5 days'",
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn good_values_are_read_with_their_defaults() {
+fn valid_values_and_defaults_are_read() {
     let found = faults_of("[a]\nn = 3\nspan = 2s\nlist = x, y\n", |document, faults| {
         let mut section = document.section("a", faults);
         assert_eq!(section.required("n"), Some(Bounded::<1, 5>(3)));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn text_that_is_no_ini_and_a_missing_file_name_the_file() {
+fn load_errors_name_the_file() {
     let error = Document::parse("bad.ini", "[peer\naddress").expect_err("not INI");
     assert!(matches!(error, LoadError::Syntax { .. }));
     assert!(error.to_string().starts_with("bad.ini: not in INI form:"), "{error}");
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,11 +1,11 @@
-//! Types that a setting may have.
+//! Value types of settings.
 
 use derive_more::{Display, Error};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What a value should have looked like.
+/// Description of the valid values of a setting.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("expected {_0}")]
 pub struct Expected(#[error(not(source))] pub String);
@@ -18,10 +18,10 @@
 
 /// A type that can be read from the text of a setting.
 pub trait Value: Sized {
-    /// What a missing value of this type should have been, for the error.
+    /// Description of valid values for the error of a missing key.
     const EXPECTED: &'static str;
 
-    /// Reads the value, or says what was expected.
+    /// Parses the value. Fails with a description of valid values.
     fn read(text: &str) -> Result<Self, Expected>;
 }
 
@@ -61,42 +61,42 @@
     }
 }
 
-/// A whole number from `LEAST` to `MOST`.
+/// A whole number from `MIN` to `MAX`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Bounded<const LEAST: u64, const MOST: u64>(pub u64);
+pub struct Bounded<const MIN: u64, const MAX: u64>(pub u64);
 
-impl<const LEAST: u64, const MOST: u64> Value for Bounded<LEAST, MOST> {
+impl<const MIN: u64, const MAX: u64> Value for Bounded<MIN, MAX> {
     const EXPECTED: &'static str = "a whole number";
 
     fn read(text: &str) -> Result<Self, Expected> {
         match text.parse() {
-            Ok(number) if (LEAST..=MOST).contains(&number) => Ok(Bounded(number)),
-            _ => Err(Expected(format!("a whole number from {LEAST} to {MOST}"))),
+            Ok(number) if (MIN..=MAX).contains(&number) => Ok(Bounded(number)),
+            _ => Err(Expected(format!("a whole number from {MIN} to {MAX}"))),
         }
     }
 }
 
-/// A time from `LEAST` to `MOST` milliseconds, written with its unit: `250ms`, `3s` or `2m`.
+/// A duration from `MIN` to `MAX` milliseconds, written with its unit: `250ms`, `3s` or `2m`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span<const LEAST: u64, const MOST: u64>(pub Duration);
+pub struct Span<const MIN: u64, const MAX: u64>(pub Duration);
 
-impl<const LEAST: u64, const MOST: u64> Value for Span<LEAST, MOST> {
+impl<const MIN: u64, const MAX: u64> Value for Span<MIN, MAX> {
     const EXPECTED: &'static str = "a time such as 250ms, 3s or 2m";
 
     fn read(text: &str) -> Result<Self, Expected> {
-        let expected =
-            || Expected(format!("a time from {LEAST}ms to {MOST}ms, such as 250ms or 3s"));
+        let expected = || Expected(format!("a time from {MIN}ms to {MAX}ms, such as 250ms or 3s"));
         let millis = milliseconds(text).ok_or_else(expected)?;
-        if !(LEAST..=MOST).contains(&millis) {
+        if !(MIN..=MAX).contains(&millis) {
             return Err(expected());
         }
         Ok(Span(Duration::from_millis(millis)))
     }
 }
 
+/// Parses a duration with unit. Returns milliseconds.
 fn milliseconds(text: &str) -> Option<u64> {
-    let digits = text.find(|symbol: char| !symbol.is_ascii_digit())?;
-    let (number, unit) = text.split_at(digits);
+    let unit_start = text.find(|symbol: char| !symbol.is_ascii_digit())?;
+    let (number, unit) = text.split_at(unit_start);
     let factor = match unit.trim() {
         "ms" => 1,
         "s" => 1_000,
@@ -106,19 +106,19 @@
     number.parse::<u64>().ok()?.checked_mul(factor)
 }
 
-/// A name of a tenant, service, back end or zone: letters, digits, `-`, `_` and `.`, 1 to 63 long.
+/// A name of a tenant, service, back end or zone: 1 to 63 letters, digits, `-`, `_` or `.`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Name(pub String);
 
-/// Longest name allowed, in bytes.
-const LONGEST_NAME: usize = 63;
+/// Maximum length of a name, in bytes.
+const MAX_NAME_LEN: usize = 63;
 
 impl Value for Name {
     const EXPECTED: &'static str = "a name of 1 to 63 letters, digits, '-', '_' or '.'";
 
     fn read(text: &str) -> Result<Self, Expected> {
-        let plain = |symbol: char| symbol.is_ascii_alphanumeric() || "-_.".contains(symbol);
-        if text.is_empty() || text.len() > LONGEST_NAME || !text.chars().all(plain) {
+        let is_allowed = |symbol: char| symbol.is_ascii_alphanumeric() || "-_.".contains(symbol);
+        if text.is_empty() || text.len() > MAX_NAME_LEN || !text.chars().all(is_allowed) {
             return Err(Self::EXPECTED.into());
         }
         Ok(Name(text.to_owned()))
--- a/crates/types/src/cost.rs
+++ b/crates/types/src/cost.rs
@@ -27,10 +27,10 @@
 pub struct Cost(pub i64);
 
 impl Cost {
-    /// No service.
+    /// Zero cost.
     pub const ZERO: Cost = Cost(0);
 
-    /// `self - other`; negative where `other` is larger.
+    /// Returns `self - other`, which is negative if `other` is larger.
     pub const fn minus(self, other: Cost) -> Cost {
         Cost(self.0 - other.0)
     }
@@ -43,10 +43,10 @@
 pub struct Weight(u32);
 
 impl Weight {
-    /// The weight of a tenant for which none is declared.
+    /// Default weight of a tenant.
     pub const ONE: Weight = Weight(1);
 
-    /// A weight, or `None` for zero, which would mean a tenant that is never served.
+    /// Creates a weight. Returns `None` for zero, as such a tenant would never be served.
     pub const fn new(value: u32) -> Option<Weight> {
         match value {
             0 => None,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The weight as a number.
+    /// Returns the weight as a number, at least 1.
     pub const fn get(self) -> u32 {
         self.0
     }
--- a/crates/types/src/identifier.rs
+++ b/crates/types/src/identifier.rs
@@ -1,4 +1,4 @@
-//! Names and identifiers, each with a type of its own.
+//! Newtypes for names and identifiers.
 
 use derive_more::{Display, Error};
 use rand::Rng;
@@ -15,7 +15,7 @@
         pub struct $type(Arc<str>);
 
         impl $type {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -30,25 +30,25 @@
 }
 
 name!(
-    /// A tenant's name as declared by the operators.
+    /// Name of a tenant, as declared by the operators.
     TenantName
 );
 name!(
-    /// A service's name as declared by the operators.
+    /// Name of a service, as declared by the operators.
     ServiceName
 );
 name!(
-    /// A back end's name as declared by the operators.
+    /// Name of a back end, as declared by the operators.
     BackendName
 );
 name!(
-    /// A process of the fleet, named by its peer address (`ip:port`).
+    /// A process of the fleet, identified by its peer address (`ip:port`).
     ProcessId
 );
 
-/// Distinguishes the lives of one process: a restarted process has a higher one.
+/// Incarnation number of a process: increases with every restart.
 ///
-/// Production takes it from the wall clock in microseconds at start.
+/// In production it is the wall-clock time at startup, in microseconds.
 #[derive(
     Debug,
     Clone,
@@ -65,13 +65,13 @@
 )]
 pub struct Incarnation(pub u64);
 
-/// A group of one service's back ends that one scheduler hands out.
+/// A group of back ends of one service that are assigned by one scheduler.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
 #[display("{service}/{index}")]
 pub struct CellId {
-    /// The service whose back ends the cell holds.
+    /// The service of the back ends.
     pub service: ServiceName,
-    /// Position among the cells of that service, from zero.
+    /// Zero-based position among the cells of that service.
     pub index: u16,
 }
 
@@ -80,19 +80,19 @@
 pub struct RequestId(u128);
 
 impl RequestId {
-    /// Draws an identifier from `random`.
+    /// Generates an identifier from `random`.
     pub fn generate(random: &mut impl Rng) -> Self {
         let high = u128::from(random.next_u64());
         let low = u128::from(random.next_u64());
         Self((high << 64) | low)
     }
 
-    /// The identifier with this number. For simulations and tests only: it is guessable.
+    /// Creates the identifier with this number. For simulations and tests only, as it is guessable.
     pub const fn from_number(number: u128) -> Self {
         Self(number)
     }
 
-    /// The identifier as a number.
+    /// Returns the identifier as a number.
     pub const fn as_number(self) -> u128 {
         self.0
     }
@@ -110,7 +110,7 @@
     }
 }
 
-/// Text that is no request identifier.
+/// Error for text that is not a request identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("a request id is 32 hexadecimal digits")]
 pub struct ParseRequestIdError;
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, time and cost shared by every mastbay crate.
+//! Types for identifiers, time and cost that are shared by all mastbay crates.
 //!
-//! Nothing here does I/O. Time is always an argument: production code derives a [`Timestamp`] from
-//! the monotonic clock, the simulation from its event queue.
+//! The crate does no I/O. Time is always passed in: production code takes a [`Timestamp`] from the
+//! monotonic clock, simulations from their event queue.
 
 mod cost;
 mod identifier;
--- a/crates/types/src/rendezvous.rs
+++ b/crates/types/src/rendezvous.rs
@@ -1,18 +1,19 @@
-//! Rendezvous hashing: every process orders the same candidates for a key in the same way, and
-//! the loss of one candidate moves only the keys that it held.
+//! Rendezvous hashing: all processes rank the candidates for a key in the same order, and the loss
+//! of a candidate moves only the keys that it owned.
 
 use std::hash::Hasher;
 
-/// FNV-1a offset basis and prime for 64 bits. A fixed function is needed since all processes,
-/// of any build, must agree; the standard library's hasher promises no such stability.
+/// Offset basis of 64-bit FNV-1a. Processes of all builds must agree on hashes, which the hasher of
+/// the standard library does not guarantee.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 struct StableHasher(u64);
 
 impl Hasher for StableHasher {
     fn finish(&self) -> u64 {
-        // A final mix, since FNV alone leaves similar inputs close together.
+        // FNV alone maps similar inputs to similar hashes.
         mix(self.0)
     }
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// A hash of `parts` that is the same in every process and build.
+/// Returns a hash of `parts` that is the same in every process and build.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = StableHasher(FNV_OFFSET);
     for part in parts {
@@ -33,17 +34,18 @@
     hasher.finish()
 }
 
-/// The same in fewer bytes, for names in messages.
+/// Returns the upper half of [`stable_hash`], for compact identifiers in messages.
 pub fn short_hash(parts: &[&[u8]]) -> u32 {
     (stable_hash(parts) >> 32) as u32
 }
 
-/// A hash of two hashes that is the same in every process and build, where many pairs are compared.
+/// Combines two hashes; the result is the same in every process and build. Cheaper than
+/// [`stable_hash`].
 pub fn mixed_hash(left: u64, right: u64) -> u64 {
     mix(left.wrapping_mul(FNV_PRIME) ^ right)
 }
 
-/// Spreads similar values, as the last step of MurmurHash3 does.
+/// Finalizer of MurmurHash3: maps similar values to unrelated ones.
 fn mix(value: u64) -> u64 {
     let mut mixed = value;
     mixed ^= mixed >> 33;
@@ -53,7 +55,8 @@
     mixed ^ (mixed >> 33)
 }
 
-/// `candidates` in rendezvous order for `key`: the first holds the key, the next is its successor.
+/// Sorts `candidates` in rendezvous order for `key`: the first owns the key, the next is its
+/// successor.
 pub fn by_rendezvous<'a, C: AsRef<str> + ?Sized>(
     key: &str,
     candidates: impl IntoIterator<Item = &'a C>,
@@ -68,13 +71,13 @@
     scored.into_iter().map(|(_, candidate)| candidate).collect()
 }
 
-/// Whether `left` comes before `right` in rendezvous order for `key`.
+/// Returns whether `left` precedes `right` in rendezvous order for `key`.
 pub fn ranks_before(key: &str, left: &crate::ProcessId, right: &crate::ProcessId) -> bool {
     left != right && by_rendezvous(key, [left, right])[0] == left
 }
 
 impl crate::CellId {
-    /// The key for the rendezvous order of the cell's schedulers.
+    /// Returns the key that ranks the schedulers of the cell.
     pub fn rendezvous_key(&self) -> String {
         format!("cell/{self}")
     }
