--- a/crates/attempts/src/budget.rs
+++ b/crates/attempts/src/budget.rs
@@ -1,36 +1,36 @@
-//! A budget that keeps retries a small share of all requests.
+//! Retry budget: limits retries to a fraction of all requests.
 
 /// Tokens earned by each request, in thousandths.
 const EARNED_PER_REQUEST: u32 = 100;
 /// Tokens that a retry costs, in thousandths.
 const COST_PER_RETRY: u32 = 1_000;
-/// Most tokens saved, in thousandths.
-const MOST_SAVED: u32 = 10_000;
+/// Maximum number of tokens, in thousandths.
+const MAX_TOKENS: u32 = 10_000;
 
-/// Allows one retry for every ten requests, and a few more after a quiet time.
+/// A token bucket that allows one retry per ten requests, with a burst of ten.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    saved: u32,
+    tokens: u32,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MOST_SAVED }
+        Self { tokens: MAX_TOKENS }
     }
 }
 
 impl RetryBudget {
-    /// Notes a first try.
-    pub fn note_request(&mut self) {
-        self.saved = (self.saved + EARNED_PER_REQUEST).min(MOST_SAVED);
+    /// Records the first attempt of a request.
+    pub fn record_request(&mut self) {
+        self.tokens = (self.tokens + EARNED_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Takes a retry out of the budget, if there is one.
+    /// Takes a retry out of the budget. Returns whether there was one.
     pub fn take_retry(&mut self) -> bool {
-        let affordable = self.saved >= COST_PER_RETRY;
-        if affordable {
-            self.saved -= COST_PER_RETRY;
+        let is_allowed = self.tokens >= COST_PER_RETRY;
+        if is_allowed {
+            self.tokens -= COST_PER_RETRY;
         }
-        affordable
+        is_allowed
     }
 }
--- a/crates/attempts/src/exchange.rs
+++ b/crates/attempts/src/exchange.rs
@@ -1,115 +1,116 @@
-//! The state machine of one request.
+//! State machine of a request.
 
 use crate::budget::RetryBudget;
 use crate::outcome::{Failure, NotRunReason, Outcome, UnknownReason};
 use mastbay_types::Timestamp;
 
-/// How far a request has come.
+/// Stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Its caller was recognised and its body read.
+    /// The caller is authenticated and the body is read.
     Accepted,
-    /// Its claim is being taken.
+    /// The claim is being acquired.
     Claiming,
-    /// It waits for a grant.
+    /// Waiting for a grant.
     Queued,
-    /// It has a grant; the connection is being opened. No byte of it has left.
+    /// A back end is granted and the connection is being opened. No byte has been sent.
     Connecting,
-    /// Bytes of it may have left, and the answer has not begun.
+    /// Bytes may have been sent, and the answer has not started.
     Sent,
-    /// The answer has begun to reach the caller.
+    /// The answer is being sent to the caller.
     Answering,
-    /// It has its outcome.
+    /// The outcome is final.
     Over,
 }
 
-/// What was declared for a request.
+/// Rules that apply to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Terms {
-    /// Whether it may be sent again when it may have run.
+pub struct RequestPolicy {
+    /// Whether it may be sent again if it may have run.
     pub repeatable: bool,
-    /// Whether it carries an idempotency key and may not be repeated, so that a claim is needed.
+    /// Whether it needs a claim: it has an idempotency key and is not repeatable.
     pub claim: bool,
-    /// Whether it is refused when its claim cannot be kept.
+    /// Whether it is refused if its claim cannot be stored.
     pub claim_required: bool,
-    /// When it must be over.
+    /// Deadline of the request.
     pub deadline: Timestamp,
-    /// Most times that it is given to a back end, over all reasons.
-    pub most_tries: u32,
+    /// Maximum number of attempts, for any reason.
+    pub max_attempts: u32,
 }
 
-/// What the driver has to do next.
+/// Next action of the driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Take the claim and call [`Exchange::claim_kept`], [`Exchange::claim_unavailable`] or
+    /// Acquire the claim and call [`Exchange::claim_kept`], [`Exchange::claim_unavailable`] or
     /// [`Exchange::claim_taken`].
     TakeClaim,
     /// Wait for a grant and call [`Exchange::granted`].
     Queue,
     /// Open a connection and call [`Exchange::may_send`] right before the first byte.
     Connect,
-    /// Tell the caller.
+    /// Report the outcome to the caller.
     Finish(Outcome),
 }
 
-/// One request.
+/// State of one request.
 #[derive(Debug, Clone)]
 pub struct Exchange {
-    terms: Terms,
+    policy: RequestPolicy,
     stage: Stage,
-    tries: u32,
-    /// Whether a byte of the request has gone to any back end.
+    attempts: u32,
+    /// Whether a byte of the request may have been sent to any back end.
     ever_sent: bool,
     /// Whether the claim may be held for this request.
     claimed: bool,
 }
 
 impl Exchange {
-    /// A request just accepted.
-    pub fn new(terms: Terms) -> Self {
-        Self { terms, stage: Stage::Accepted, tries: 0, ever_sent: false, claimed: false }
+    /// Creates the state of an accepted request.
+    pub fn new(policy: RequestPolicy) -> Self {
+        Self { policy, stage: Stage::Accepted, attempts: 0, ever_sent: false, claimed: false }
     }
 
-    /// How far the request has come.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// When the request must be over.
+    /// Returns the deadline of the request.
     pub fn deadline(&self) -> Timestamp {
-        self.terms.deadline
+        self.policy.deadline
     }
 
-    /// Whether a claim may be held that the outcome has to settle.
+    /// Returns whether the request may hold a claim, which must be released or completed with the
+    /// outcome.
     pub fn claimed(&self) -> bool {
         self.claimed
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn start(&mut self) -> Step {
-        if !self.terms.claim {
+        if !self.policy.claim {
             return self.queue();
         }
         self.stage = Stage::Claiming;
-        // From here on a write may take effect, whatever is answered.
+        // The write of the claim may take effect even if it appears to fail.
         self.claimed = true;
         Step::TakeClaim
     }
 
-    /// The claim is kept for this request.
+    /// Handles an acquired claim.
     pub fn claim_kept(&mut self) -> Step {
         self.queue()
     }
 
-    /// The platform did not answer in time.
+    /// Handles a claim that could not be stored in time.
     pub fn claim_unavailable(&mut self) -> Step {
-        if self.terms.claim_required {
+        if self.policy.claim_required {
             return self.finish(Outcome::NotRun(NotRunReason::ClaimsUnavailable));
         }
         self.queue()
     }
 
-    /// Another request holds the claim; `answered` says whether it is known to have run.
+    /// Handles a claim that another request holds; `answered` is whether that one was answered.
     pub fn claim_taken(&mut self, answered: bool) -> Step {
         self.claimed = false;
         let reason =
@@ -122,44 +123,44 @@
         Step::Queue
     }
 
-    /// A back end was granted.
+    /// Handles a granted back end.
     pub fn granted(&mut self) -> Step {
         self.stage = Stage::Connecting;
-        self.tries += 1;
+        self.attempts += 1;
         Step::Connect
     }
 
-    /// To be asked right before the first byte is written. With `true`, the request counts as
-    /// sent. A process that was paused finds here that the deadline has passed.
+    /// Returns whether the request may be sent; if so, it counts as sent. Must be called right
+    /// before the first byte is written, as the process may have been suspended past the deadline.
     pub fn may_send(&mut self, now: Timestamp) -> bool {
-        if self.stage != Stage::Connecting || now >= self.terms.deadline {
+        if self.stage != Stage::Connecting || now >= self.policy.deadline {
             return false;
         }
         self.stage = Stage::Sent;
         true
     }
 
-    /// The driver is certain that no byte was written in this try after all.
+    /// Reverts [`Exchange::may_send`] if it is certain that no byte was written in this attempt.
     pub fn nothing_written(&mut self) {
         if self.stage == Stage::Sent {
             self.stage = Stage::Connecting;
         }
     }
 
-    /// The first part of the answer is about to go to the caller.
+    /// Must be called right before the first byte of the answer is sent to the caller.
     pub fn answer_begun(&mut self) {
         self.stage = Stage::Answering;
     }
 
-    /// The whole answer went to the caller.
+    /// Handles an answer that was completely sent to the caller.
     pub fn answered(&mut self) -> Step {
         self.finish(Outcome::Answered)
     }
 
-    /// Something went wrong. Decides whether to try again.
+    /// Handles a failed attempt. Returns whether to retry or how the request ends.
     pub fn failed(&mut self, now: Timestamp, failure: Failure, budget: &mut RetryBudget) -> Step {
         self.ever_sent |= self.stage >= Stage::Sent && self.stage != Stage::Over;
-        if self.may_try_again(now, failure, budget) {
+        if self.may_retry(now, failure, budget) {
             return self.queue();
         }
         let outcome = if self.ever_sent {
@@ -170,20 +171,17 @@
         self.finish(outcome)
     }
 
-    fn may_try_again(
-        &mut self,
-        now: Timestamp,
-        failure: Failure,
-        budget: &mut RetryBudget,
-    ) -> bool {
-        let transient = matches!(failure, Failure::Connect | Failure::Broken | Failure::Mismatch);
-        let time_left = now < self.terms.deadline && self.tries < self.terms.most_tries;
-        if !transient || !time_left {
+    fn may_retry(&mut self, now: Timestamp, failure: Failure, budget: &mut RetryBudget) -> bool {
+        let is_transient =
+            matches!(failure, Failure::Connect | Failure::Broken | Failure::Mismatch);
+        let has_attempts_left =
+            now < self.policy.deadline && self.attempts < self.policy.max_attempts;
+        if !is_transient || !has_attempts_left {
             return false;
         }
         match self.stage {
             Stage::Connecting => true,
-            Stage::Sent => self.terms.repeatable && budget.take_retry(),
+            Stage::Sent => self.policy.repeatable && budget.take_retry(),
             _ => false,
         }
     }
--- a/crates/attempts/src/lib.rs
+++ b/crates/attempts/src/lib.rs
@@ -1,17 +1,16 @@
-//! What may be done with one request, and what its caller may be told.
+//! Attempts and outcome of a request.
 //!
-//! [`Exchange`] is the state machine of a request from accept to answer. It decides, without doing
-//! I/O, whether a request may be sent, sent again, or must end, and with which of the three
-//! outcomes: *answered*, *not run* or *unknown*. Its one rule: once a byte of a request that may not
-//! be repeated has gone to a back end, the request is never sent again and its caller is never told
-//! that it was not run.
+//! [`Exchange`] is the state machine of a request from its acceptance to its answer. It decides,
+//! without I/O, whether the request is sent, retried or finished, and with which outcome:
+//! *answered*, *not run* or *unknown*. Invariant: once a byte of a request that is not repeatable has
+//! been sent to a back end, it is never sent again and never reported as not run.
 
 mod budget;
 mod exchange;
 mod outcome;
 
 pub use budget::RetryBudget;
-pub use exchange::{Exchange, Stage, Step, Terms};
+pub use exchange::{Exchange, RequestPolicy, Stage, Step};
 pub use outcome::{Failure, NotRunReason, Outcome, UnknownReason};
 
 #[cfg(test)]
--- a/crates/attempts/src/outcome.rs
+++ b/crates/attempts/src/outcome.rs
@@ -1,13 +1,13 @@
-//! Outcomes and their reasons, with the stable codes that callers see.
+//! Outcomes of requests and their reasons, with stable codes for callers.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a caller is told about its request.
+/// Outcome of a request as reported to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The whole answer went to the caller.
+    /// The whole answer was sent to the caller.
     #[display("answered")]
     Answered,
     /// The request did not run and never will.
@@ -19,7 +19,7 @@
 }
 
 impl Outcome {
-    /// The stable code of the reason.
+    /// Returns the stable code of the reason.
     pub fn code(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         match self {
             Outcome::Answered => 200,
@@ -41,43 +41,43 @@
 /// Why a request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum NotRunReason {
-    /// The key is missing or not known.
+    /// The key is missing or unknown.
     #[display("the key is missing or not known")]
     Unauthorized,
-    /// No such service.
+    /// The service does not exist.
     #[display("no such service")]
     UnknownService,
-    /// The request cannot be understood.
+    /// The request is malformed.
     #[display("the request cannot be understood")]
     BadRequest,
     /// The body is larger than allowed.
     #[display("the body is larger than allowed")]
     BodyTooLarge,
-    /// The tenant has too many requests waiting here.
+    /// Too many requests of the tenant are waiting at this gateway.
     #[display("too many requests of this tenant are waiting")]
     QueueFull,
     /// The deadline passed before the request was sent to a back end.
     #[display("the deadline passed before the request could be sent")]
     DeadlinePassed,
-    /// Every try to reach a back end failed.
+    /// All attempts to reach a back end failed.
     #[display("no back end could be reached")]
     NoBackend,
-    /// This gateway stops.
+    /// This gateway is shutting down.
     #[display("this gateway is stopping")]
     Stopping,
-    /// Claims cannot be kept just now.
+    /// Claims cannot be stored at present.
     #[display("claims for idempotency keys cannot be kept just now")]
     ClaimsUnavailable,
-    /// No configuration is in force here yet.
+    /// This gateway has no configuration yet.
     #[display("no configuration is in force here yet")]
     NotConfigured,
-    /// The caller went away while its request waited.
+    /// The caller disconnected while its request was waiting.
     #[display("the caller went away")]
     CallerGone,
 }
 
 impl NotRunReason {
-    /// The stable code.
+    /// Returns the stable code.
     pub fn code(self) -> &'static str {
         match self {
             NotRunReason::Unauthorized => "unauthorized",
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         match self {
             NotRunReason::Unauthorized => 401,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// When the caller may try again. A request that is wrong in itself gets the longest time.
+    /// Returns the time after which the caller may retry; longest for requests that are invalid.
     pub fn retry_after(self) -> Duration {
         let seconds = match self {
             NotRunReason::Stopping | NotRunReason::NotConfigured | NotRunReason::CallerGone => 1,
@@ -126,31 +126,31 @@
     }
 }
 
-/// Why nobody can say whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 pub enum UnknownReason {
-    /// The back end failed after the request began to be sent to it.
+    /// The back end failed after part of the request was sent.
     #[display("the back end failed after the request was sent to it")]
     BackendFailed,
-    /// The deadline passed while the request ran.
+    /// The deadline passed while the request was running.
     #[display("the deadline passed while the request ran")]
     DeadlinePassed,
-    /// Another request with this idempotency key was taken up and may have run.
+    /// An earlier request with this idempotency key may have run.
     #[display("an earlier request with this idempotency key was taken up; it may have run")]
     Duplicate,
-    /// Another request with this idempotency key ran and was answered.
+    /// An earlier request with this idempotency key ran and was answered.
     #[display("an earlier request with this idempotency key has run and was answered")]
     AlreadyAnswered,
-    /// The back end's answer carried another request's identifier.
+    /// The answer of the back end had the identifier of another request.
     #[display("the back end answered another request")]
     AnswerMismatch,
-    /// The caller went away while its request ran.
+    /// The caller disconnected while its request was running.
     #[display("the caller went away")]
     CallerGone,
 }
 
 impl UnknownReason {
-    /// The stable code.
+    /// Returns the stable code.
     pub fn code(self) -> &'static str {
         match self {
             UnknownReason::BackendFailed => "backend_failed",
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         match self {
             UnknownReason::BackendFailed | UnknownReason::AnswerMismatch => 502,
@@ -173,25 +173,25 @@
     }
 }
 
-/// What went wrong between a gateway and a back end.
+/// Failure of an attempt at a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
 pub enum Failure {
     /// The connection could not be opened.
     #[display("connect")]
     Connect,
-    /// The connection broke, or the answer ended short or broke the protocol.
+    /// The connection was lost, or the answer was incomplete or violated the protocol.
     #[display("broken")]
     Broken,
-    /// The answer is for another request.
+    /// The answer belongs to another request.
     #[display("mismatch")]
     Mismatch,
     /// The deadline passed.
     #[display("deadline")]
     Deadline,
-    /// The caller went away.
+    /// The caller disconnected.
     #[display("caller-gone")]
     CallerGone,
-    /// This gateway stops.
+    /// This gateway is shutting down.
     #[display("stopping")]
     Stopping,
 }
--- a/crates/attempts/src/tests.rs
+++ b/crates/attempts/src/tests.rs
@@ -1,5 +1,6 @@
 use crate::{
-    Exchange, Failure, NotRunReason, Outcome, RetryBudget, Stage, Step, Terms, UnknownReason,
+    Exchange, Failure, NotRunReason, Outcome, RequestPolicy, RetryBudget, Stage, Step,
+    UnknownReason,
 };
 use mastbay_types::Timestamp;
 use quickcheck::quickcheck;
@@ -7,12 +8,12 @@
 const DEADLINE: Timestamp = Timestamp::from_millis(1_000);
 
 fn exchange(repeatable: bool, claim: bool) -> Exchange {
-    Exchange::new(Terms {
+    Exchange::new(RequestPolicy {
         repeatable,
         claim,
         claim_required: true,
         deadline: DEADLINE,
-        most_tries: 3,
+        max_attempts: 3,
     })
 }
 
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn a_request_that_may_not_be_repeated_is_not_sent_twice() {
+fn a_request_that_is_not_repeatable_is_not_sent_twice() {
     let mut exchange = sent(false);
     let step = exchange.failed(Timestamp::ZERO, Failure::Broken, &mut RetryBudget::default());
     assert_eq!(step, Step::Finish(Outcome::Unknown(UnknownReason::BackendFailed)));
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_repeatable_request_is_sent_again_within_its_tries() {
+fn a_repeatable_request_is_retried_up_to_the_maximum() {
     let mut exchange = sent(true);
     let budget = &mut RetryBudget::default();
     for _ in 0..2 {
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_request_that_certainly_was_not_written_is_tried_elsewhere() {
+fn a_request_of_which_no_byte_was_written_is_retried() {
     let mut exchange = sent(false);
     exchange.nothing_written();
     let budget = &mut RetryBudget::default();
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_paused_process_does_not_send_after_the_deadline() {
+fn a_resumed_process_does_not_send_after_the_deadline() {
     let mut exchange = exchange(false, false);
     exchange.start();
     exchange.granted();
@@ -79,11 +80,11 @@
     assert_eq!(exchange.start(), Step::TakeClaim);
     let step = exchange.claim_unavailable();
     assert_eq!(step, Step::Finish(Outcome::NotRun(NotRunReason::ClaimsUnavailable)));
-    assert!(exchange.claimed(), "the write may yet take effect and must be given back");
+    assert!(exchange.claimed(), "the write may still take effect, so the claim must be released");
 }
 
 #[test]
-fn an_answer_that_broke_off_is_not_begun_again() {
+fn a_request_with_a_partial_answer_is_not_retried() {
     let mut exchange = sent(true);
     exchange.answer_begun();
     let step = exchange.failed(Timestamp::ZERO, Failure::Broken, &mut RetryBudget::default());
@@ -91,11 +92,11 @@
 }
 
 #[test]
-fn retries_are_a_tenth_of_requests_in_the_long_run() {
+fn retries_are_limited_to_a_tenth_of_requests() {
     let mut budget = RetryBudget::default();
     let retries = (0..10_000)
         .filter(|_| {
-            budget.note_request();
+            budget.record_request();
             budget.take_retry()
         })
         .count();
@@ -103,19 +104,19 @@
 }
 
 quickcheck! {
-    /// Whatever happens in whatever order: at most one sending unless repeatable, and "not run" only
-    /// if nothing was ever sent.
-    fn not_run_is_true_and_at_most_once_holds(events: Vec<u8>, repeatable: bool) -> bool {
+    /// For any sequence of events, a request is sent at most once unless it is repeatable, and "not
+    /// run" is only reported if nothing was sent.
+    fn not_run_is_never_wrong_and_requests_are_sent_at_most_once(events: Vec<u8>, repeatable: bool) -> bool {
         let mut exchange = exchange(repeatable, false);
         let mut budget = RetryBudget::default();
-        let mut sendings = 0;
+        let mut sent_count = 0;
         let mut step = exchange.start();
         for event in events {
             let now = Timestamp::from_millis(u64::from(event));
             step = match event % 6 {
                 0 if exchange.stage() == Stage::Queued => exchange.granted(),
                 1 => {
-                    sendings += u32::from(exchange.may_send(now));
+                    sent_count += u32::from(exchange.may_send(now));
                     step
                 }
                 2 if exchange.stage() == Stage::Sent => {
@@ -131,7 +132,7 @@
                 _ => step,
             };
         }
-        let told_not_run = matches!(step, Step::Finish(Outcome::NotRun(_)));
-        (repeatable || sendings <= 1) && !(told_not_run && sendings > 0)
+        let reported_not_run = matches!(step, Step::Finish(Outcome::NotRun(_)));
+        (repeatable || sent_count <= 1) && !(reported_not_run && sent_count > 0)
     }
 }
--- a/crates/claims/src/client.rs
+++ b/crates/claims/src/client.rs
@@ -1,126 +1,128 @@
-//! The gateway's side: wishes under way, asked again until a keeper answers.
+//! Claim requests of a gateway, sent again until a keeper answers.
 
-use crate::record::{ClaimAnswer, ClaimRequest, Intent, ShardIndex, Verdict};
+use crate::record::{ClaimAnswer, ClaimOutcome, ClaimRequest, Intent, ShardIndex};
 use mastbay_types::{ProcessId, Timestamp, by_rendezvous};
 use std::time::Duration;
 
 /// Settings of a [`ClaimClient`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimClientConfig {
-    /// Time a keeper has to answer before the next one is asked.
+    /// Time after which an unanswered request is sent to the next keeper.
     pub answer_timeout: Duration,
     /// Time after which a claim counts as unavailable.
-    pub patience: Duration,
-    /// How long releases and completions are tried.
-    pub note_patience: Duration,
+    pub timeout: Duration,
+    /// Time for which releases and completions are retried; no caller waits for them.
+    pub background_timeout: Duration,
 }
 
 impl Default for ClaimClientConfig {
     fn default() -> Self {
         Self {
             answer_timeout: Duration::from_millis(700),
-            patience: Duration::from_millis(2_500),
-            note_patience: Duration::from_secs(120),
+            timeout: Duration::from_millis(2_500),
+            background_timeout: Duration::from_secs(120),
         }
     }
 }
 
 #[derive(Debug)]
-struct UnderWay {
-    wish: ClaimRequest,
+struct InFlight {
+    request: ClaimRequest,
     since: Timestamp,
-    asked: Option<Timestamp>,
-    tries: usize,
+    last_sent: Option<Timestamp>,
+    attempts: usize,
 }
 
-impl UnderWay {
-    fn patience(&self, config: &ClaimClientConfig) -> Duration {
-        match self.wish.intent {
-            Intent::Take => config.patience,
-            Intent::Release | Intent::Complete { .. } => config.note_patience,
+impl InFlight {
+    fn timeout(&self, config: &ClaimClientConfig) -> Duration {
+        match self.request.intent {
+            Intent::Take => config.timeout,
+            Intent::Release | Intent::Complete { .. } => config.background_timeout,
         }
     }
 }
 
-/// One gateway's wishes.
+/// Claim requests in flight of a gateway.
 #[derive(Debug)]
 pub struct ClaimClient {
     config: ClaimClientConfig,
     keepers: Vec<ProcessId>,
-    under_way: Vec<UnderWay>,
+    in_flight: Vec<InFlight>,
 }
 
 impl ClaimClient {
-    /// A client with no wishes.
+    /// Creates a client without requests.
     pub fn new(config: ClaimClientConfig) -> Self {
-        Self { config, keepers: Vec::new(), under_way: Vec::new() }
+        Self { config, keepers: Vec::new(), in_flight: Vec::new() }
     }
 
-    /// Sets the live schedulers.
+    /// Sets the keepers, which are the live schedulers.
     pub fn set_keepers(&mut self, keepers: Vec<ProcessId>) {
         self.keepers = keepers;
     }
 
-    /// Adds a wish. Call [`ClaimClient::poll`] after it.
-    pub fn wish(&mut self, now: Timestamp, wish: ClaimRequest) {
-        self.under_way.push(UnderWay { wish, since: now, asked: None, tries: 0 });
+    /// Adds a request. [`ClaimClient::poll`] must be called afterwards.
+    pub fn submit(&mut self, now: Timestamp, request: ClaimRequest) {
+        self.in_flight.push(InFlight { request, since: now, last_sent: None, attempts: 0 });
     }
 
-    /// Drops the wish to take a claim whose request is over.
-    pub fn forget(&mut self, wish: &ClaimRequest) {
-        self.under_way.retain(|entry| entry.wish != *wish);
+    /// Cancels the request for a claim that is no longer needed.
+    pub fn forget(&mut self, request: &ClaimRequest) {
+        self.in_flight.retain(|entry| entry.request != *request);
     }
 
-    /// Wishes to send now, and those given up.
+    /// Returns the requests to send now with their keepers, and answers to those that timed out.
     pub fn poll(&mut self, now: Timestamp) -> (Vec<(ProcessId, ClaimRequest)>, Vec<ClaimAnswer>) {
         let config = &self.config;
-        let given_up = self
-            .under_way
-            .extract_if(.., |entry| now.since(entry.since) >= entry.patience(config))
-            .map(|entry| ClaimAnswer { wish: entry.wish, verdict: Verdict::Unavailable })
+        let timed_out = self
+            .in_flight
+            .extract_if(.., |entry| now.since(entry.since) >= entry.timeout(config))
+            .map(|entry| ClaimAnswer { request: entry.request, outcome: ClaimOutcome::Unavailable })
             .collect();
-        let mut sent = Vec::new();
-        for entry in &mut self.under_way {
-            let due = entry.asked.is_none_or(|asked| now.since(asked) >= config.answer_timeout);
-            if !due {
+        let mut to_send = Vec::new();
+        for entry in &mut self.in_flight {
+            let is_due = entry
+                .last_sent
+                .is_none_or(|last_sent| now.since(last_sent) >= config.answer_timeout);
+            if !is_due {
                 continue;
             }
-            let Some(keeper) = keeper_for(&self.keepers, entry.wish.key.shard(), entry.tries)
+            let Some(keeper) = keeper_for(&self.keepers, entry.request.key.shard(), entry.attempts)
             else {
                 continue;
             };
-            entry.asked = Some(now);
-            entry.tries += 1;
-            sent.push((keeper, entry.wish.clone()));
+            entry.last_sent = Some(now);
+            entry.attempts += 1;
+            to_send.push((keeper, entry.request.clone()));
         }
-        (sent, given_up)
+        (to_send, timed_out)
     }
 
-    /// Takes a keeper's answer. Returns it if it is the first and final one for its wish.
+    /// Handles the answer of a keeper. Returns it if it is the first final one to its request.
     pub fn handle_answer(&mut self, answer: ClaimAnswer) -> Option<ClaimAnswer> {
-        let position = self.under_way.iter().position(|entry| entry.wish == answer.wish)?;
-        let is_note = answer.wish.intent != Intent::Take;
-        if answer.verdict == Verdict::Unavailable && is_note {
+        let position = self.in_flight.iter().position(|entry| entry.request == answer.request)?;
+        let is_background = answer.request.intent != Intent::Take;
+        if answer.outcome == ClaimOutcome::Unavailable && is_background {
             return None;
         }
-        self.under_way.swap_remove(position);
+        self.in_flight.swap_remove(position);
         Some(answer)
     }
 
-    /// When [`ClaimClient::poll`] should be called next.
+    /// Returns the time at which [`ClaimClient::poll`] must be called next.
     pub fn next_timeout(&self) -> Timestamp {
-        let next = |entry: &UnderWay| match entry.asked {
-            Some(asked) => asked + self.config.answer_timeout,
+        let next = |entry: &InFlight| match entry.last_sent {
+            Some(last_sent) => last_sent + self.config.answer_timeout,
             None => entry.since,
         };
-        self.under_way.iter().map(next).min().unwrap_or(Timestamp::NEVER)
+        self.in_flight.iter().map(next).min().unwrap_or(Timestamp::NEVER)
     }
 }
 
-fn keeper_for(keepers: &[ProcessId], shard: ShardIndex, tries: usize) -> Option<ProcessId> {
+fn keeper_for(keepers: &[ProcessId], shard: ShardIndex, attempts: usize) -> Option<ProcessId> {
     if keepers.is_empty() {
         return None;
     }
     let order = by_rendezvous(&format!("claims/{shard}"), keepers);
-    Some(order[tries % order.len()].clone())
+    Some(order[attempts % order.len()].clone())
 }
--- a/crates/claims/src/keeper.rs
+++ b/crates/claims/src/keeper.rs
@@ -1,7 +1,8 @@
-//! The side that reads and writes shard objects, many claims to a write.
+//! Reads and writes the shard objects, with many claims per write.
 
 use crate::record::{
-    ClaimAnswer, ClaimRecord, ClaimRequest, ClaimShard, ClaimState, Intent, ShardIndex, Verdict,
+    ClaimAnswer, ClaimOutcome, ClaimRecord, ClaimRequest, ClaimShard, ClaimState, Intent,
+    ShardIndex,
 };
 use mastbay_types::{ProcessId, Timestamp};
 use std::collections::BTreeMap;
@@ -10,20 +11,21 @@
 /// Settings of a [`ClaimKeeper`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeeperConfig {
-    /// Least time between two operations of this keeper, over all shards: its share of the
-    /// platform's rate.
+    /// Minimum time between two operations of this keeper over all shards: its share of the
+    /// platform's rate limit.
     pub spacing: Duration,
-    /// How long a wish is tried before it is answered with [`Verdict::Unavailable`].
-    pub patience: Duration,
-    /// Pause after the platform failed, doubled each time up to `longest_pause`.
-    pub first_pause: Duration,
-    /// Longest pause between tries.
-    pub longest_pause: Duration,
-    /// How long a note that nobody waits for may wait for a write to ride on.
-    pub note_delay: Duration,
-    /// How long another's claim is believed from memory.
-    pub memory: Duration,
-    /// How long a claim is kept.
+    /// Time after which a request is answered with [`ClaimOutcome::Unavailable`].
+    pub timeout: Duration,
+    /// Backoff after the first failure of the platform, doubled with each further one up to
+    /// `max_backoff`.
+    pub initial_backoff: Duration,
+    /// Maximum backoff.
+    pub max_backoff: Duration,
+    /// Time for which releases and completions wait to share a write with claims.
+    pub background_delay: Duration,
+    /// Time for which a claim of another request is answered from the cached shard.
+    pub cache_ttl: Duration,
+    /// Time for which a claim is stored.
     pub retention: Duration,
 }
 
@@ -31,53 +33,53 @@
     fn default() -> Self {
         Self {
             spacing: Duration::from_millis(20),
-            patience: Duration::from_millis(2_000),
-            first_pause: Duration::from_millis(50),
-            longest_pause: Duration::from_millis(800),
-            note_delay: Duration::from_millis(500),
-            memory: Duration::from_millis(500),
+            timeout: Duration::from_millis(2_000),
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_millis(800),
+            background_delay: Duration::from_millis(500),
+            cache_ttl: Duration::from_millis(500),
             retention: Duration::from_secs(7_200),
         }
     }
 }
 
-/// What to do with a shard object.
+/// Kind of an operation on a shard object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperationKind {
-    /// Read it.
+    /// Read the object.
     Read,
-    /// Write it if its version is still `expected`; `None` means that it must not exist.
+    /// Write the object if its version is still `expected`; `None` if it must not exist.
     Write {
-        /// The version that the value was worked out from.
+        /// The version that the value was derived from.
         expected: Option<u64>,
         /// The new value.
         value: Vec<u8>,
     },
 }
 
-/// One call to the platform, to be answered by [`ClaimKeeper::handle_read`] or
+/// A call to the platform; its result must be passed to [`ClaimKeeper::handle_read`] or
 /// [`ClaimKeeper::handle_write`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Operation {
     /// The shard.
     pub shard: ShardIndex,
-    /// What to do.
+    /// Kind of the operation.
     pub kind: OperationKind,
 }
 
-/// Why a call to the platform gave no result.
+/// Failure of a call to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The object's version is another: nothing was written.
+    /// The object has a different version; nothing was written.
     Conflict,
-    /// No answer: it may have been written or not.
+    /// No answer was received; the write may have taken effect.
     NoAnswer,
 }
 
 #[derive(Debug)]
 struct Pending {
     from: ProcessId,
-    wish: ClaimRequest,
+    request: ClaimRequest,
     since: Timestamp,
 }
 
@@ -91,7 +93,7 @@
 #[derive(Debug, Default)]
 struct Shard {
     confirmed: Option<Confirmed>,
-    /// What the write under way will store.
+    /// Contents of the write in flight.
     draft: Option<ClaimShard>,
     busy: bool,
     pending: Vec<Pending>,
@@ -99,7 +101,7 @@
     not_before: Timestamp,
 }
 
-/// Keeps the claims of the shards that others bring to it.
+/// Stores the claims that gateways request.
 #[derive(Debug)]
 pub struct ClaimKeeper {
     config: KeeperConfig,
@@ -109,7 +111,7 @@
 }
 
 impl ClaimKeeper {
-    /// A keeper that knows no claim.
+    /// Creates a keeper without cached shards.
     pub fn new(config: KeeperConfig) -> Self {
         Self {
             config,
@@ -119,29 +121,30 @@
         }
     }
 
-    /// Sets this keeper's share of the platform's rate.
+    /// Sets the minimum time between two operations, see [`KeeperConfig::spacing`].
     pub fn set_spacing(&mut self, spacing: Duration) {
         self.config.spacing = spacing;
     }
 
-    /// Takes a wish. A wish already pending is not noted twice.
-    pub fn handle_wish(&mut self, now: Timestamp, from: &ProcessId, wish: ClaimRequest) {
-        let shard = self.shards.entry(wish.key.shard()).or_default();
-        let same = |pending: &Pending| pending.wish == wish && pending.from == *from;
+    /// Adds a request of a gateway unless it is already pending.
+    pub fn handle_request(&mut self, now: Timestamp, from: &ProcessId, request: ClaimRequest) {
+        let shard = self.shards.entry(request.key.shard()).or_default();
+        let same = |pending: &Pending| pending.request == request && pending.from == *from;
         if shard.pending.iter().any(same) {
             return;
         }
-        shard.pending.push(Pending { from: from.clone(), wish, since: now });
+        shard.pending.push(Pending { from: from.clone(), request, since: now });
     }
 
-    /// The next call to make, if one is due. `unix_time` is in seconds.
+    /// Returns the next operation, if one is due. `unix_time` is in seconds.
     pub fn poll(&mut self, now: Timestamp, unix_time: u64) -> Option<Operation> {
-        self.give_up(now);
+        self.expire_pending(now);
         if now < self.next_operation {
             return None;
         }
-        let due: Vec<ShardIndex> = self.shards.keys().copied().collect();
-        let operation = due.into_iter().find_map(|shard| self.poll_shard(now, unix_time, shard))?;
+        let indexes: Vec<ShardIndex> = self.shards.keys().copied().collect();
+        let operation =
+            indexes.into_iter().find_map(|shard| self.poll_shard(now, unix_time, shard))?;
         self.next_operation = now + self.config.spacing;
         Some(operation)
     }
@@ -154,11 +157,11 @@
     ) -> Option<Operation> {
         let config = self.config.clone();
         let shard = self.shards.get_mut(&index)?;
-        if shard.busy || now < shard.not_before || !shard.is_due(now, config.note_delay) {
+        if shard.busy || now < shard.not_before || !shard.is_due(now, config.background_delay) {
             return None;
         }
         if shard.confirmed.is_some() {
-            shard.answer_settled(now, config.memory, &mut self.answers);
+            shard.answer_decided(now, config.cache_ttl, &mut self.answers);
         }
         if shard.pending.is_empty() {
             return None;
@@ -168,7 +171,7 @@
         Some(Operation { shard: index, kind })
     }
 
-    /// Takes the outcome of a read: `Ok(None)` if the object does not exist, and an error if the
+    /// Handles the result of a read: `Ok(None)` if the object does not exist, an error if the
     /// platform did not answer.
     pub fn handle_read(
         &mut self,
@@ -176,7 +179,7 @@
         index: ShardIndex,
         outcome: Result<Option<(u64, ClaimShard)>, CallFailure>,
     ) {
-        let (memory, pause) = (self.config.memory, self.pause(index));
+        let (cache_ttl, backoff) = (self.config.cache_ttl, self.backoff(index));
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
@@ -189,20 +192,20 @@
                     None => (None, ClaimShard::default()),
                 };
                 shard.confirmed = Some(Confirmed { version, contents, at: now });
-                shard.answer_settled(now, memory, &mut self.answers);
+                shard.answer_decided(now, cache_ttl, &mut self.answers);
             }
-            Err(_) => shard.back_off(now, pause),
+            Err(_) => shard.back_off(now, backoff),
         }
     }
 
-    /// Takes the outcome of a write: the object's new version.
+    /// Handles the result of a write: the new version of the object.
     pub fn handle_write(
         &mut self,
         now: Timestamp,
         index: ShardIndex,
         outcome: Result<u64, CallFailure>,
     ) {
-        let (memory, pause) = (self.config.memory, self.pause(index));
+        let (cache_ttl, backoff) = (self.config.cache_ttl, self.backoff(index));
         let Some(shard) = self.shards.get_mut(&index) else {
             return;
         };
@@ -213,41 +216,42 @@
             (Ok(version), Some(contents)) => {
                 shard.failures = 0;
                 shard.confirmed = Some(Confirmed { version: Some(version), contents, at: now });
-                shard.answer_settled(now, memory, &mut self.answers);
+                shard.answer_decided(now, cache_ttl, &mut self.answers);
             }
-            // Read back: another wrote in between, or our own write may have taken effect.
+            // The shard is read again: another keeper wrote it, or this write took effect.
             (Err(CallFailure::Conflict), _) => {}
-            (Err(CallFailure::NoAnswer), _) | (Ok(_), None) => shard.back_off(now, pause),
+            (Err(CallFailure::NoAnswer), _) | (Ok(_), None) => shard.back_off(now, backoff),
         }
     }
 
-    /// Answers that are ready to be sent.
+    /// Takes the answers that are ready to be sent.
     pub fn take_answers(&mut self) -> Vec<(ProcessId, ClaimAnswer)> {
         std::mem::take(&mut self.answers)
     }
 
-    /// When [`ClaimKeeper::poll`] should be called next.
+    /// Returns the time at which [`ClaimKeeper::poll`] must be called next.
     pub fn next_timeout(&self, now: Timestamp) -> Timestamp {
-        let waiting = self.shards.values().any(|shard| !shard.pending.is_empty());
-        if waiting {
+        let has_pending = self.shards.values().any(|shard| !shard.pending.is_empty());
+        if has_pending {
             (now + self.config.spacing).max(self.next_operation)
         } else {
             Timestamp::NEVER
         }
     }
 
-    fn pause(&self, index: ShardIndex) -> Duration {
+    fn backoff(&self, index: ShardIndex) -> Duration {
         let failures = self.shards.get(&index).map_or(0, |shard| shard.failures);
         let factor = 1_u32.checked_shl(failures.min(16)).unwrap_or(u32::MAX);
-        self.config.first_pause.saturating_mul(factor).min(self.config.longest_pause)
+        self.config.initial_backoff.saturating_mul(factor).min(self.config.max_backoff)
     }
 
-    fn give_up(&mut self, now: Timestamp) {
-        let patience = self.config.patience;
+    fn expire_pending(&mut self, now: Timestamp) {
+        let timeout = self.config.timeout;
         for shard in self.shards.values_mut() {
-            let late = |pending: &mut Pending| now.since(pending.since) >= patience;
-            for pending in shard.pending.extract_if(.., late) {
-                let answer = ClaimAnswer { wish: pending.wish, verdict: Verdict::Unavailable };
+            let has_timed_out = |pending: &mut Pending| now.since(pending.since) >= timeout;
+            for pending in shard.pending.extract_if(.., has_timed_out) {
+                let answer =
+                    ClaimAnswer { request: pending.request, outcome: ClaimOutcome::Unavailable };
                 self.answers.push((pending.from, answer));
             }
         }
@@ -255,47 +259,49 @@
 }
 
 impl Shard {
-    /// Whether anyone waits for an answer, or a note has waited long enough.
-    fn is_due(&self, now: Timestamp, note_delay: Duration) -> bool {
+    /// Returns whether a claim is requested, or a release or completion has waited long enough.
+    fn is_due(&self, now: Timestamp, background_delay: Duration) -> bool {
         self.pending.iter().any(|pending| {
-            pending.wish.intent == Intent::Take || now.since(pending.since) >= note_delay
+            pending.request.intent == Intent::Take || now.since(pending.since) >= background_delay
         })
     }
 
-    fn back_off(&mut self, now: Timestamp, pause: Duration) {
+    fn back_off(&mut self, now: Timestamp, backoff: Duration) {
         self.failures += 1;
-        self.not_before = now + pause;
+        self.not_before = now + backoff;
         self.confirmed = None;
     }
 
-    /// Answers all wishes that the confirmed contents settle.
-    fn answer_settled(
+    /// Answers all requests that the confirmed contents decide.
+    fn answer_decided(
         &mut self,
         now: Timestamp,
-        memory: Duration,
+        cache_ttl: Duration,
         answers: &mut Vec<(ProcessId, ClaimAnswer)>,
     ) {
         let Some(confirmed) = &self.confirmed else {
             return;
         };
-        let fresh = now.since(confirmed.at) < memory;
+        let is_fresh = now.since(confirmed.at) < cache_ttl;
         let contents = &confirmed.contents;
-        let mut stale = false;
+        let mut is_stale = false;
         self.pending.retain(|pending| {
-            let verdict = match settle(contents, &pending.wish) {
-                Settled::Open => return true,
-                // Another's claim may have been released since.
-                Settled::As(Verdict::Taken { .. }) if !fresh => {
-                    stale = true;
+            let outcome = match resolve(contents, &pending.request) {
+                Resolution::NeedsWrite => return true,
+                // The other request may have released its claim since.
+                Resolution::Decided(ClaimOutcome::Taken { .. }) if !is_fresh => {
+                    is_stale = true;
                     return true;
                 }
-                Settled::As(verdict) => verdict,
+                Resolution::Decided(outcome) => outcome,
             };
-            answers
-                .push((pending.from.clone(), ClaimAnswer { wish: pending.wish.clone(), verdict }));
+            answers.push((
+                pending.from.clone(),
+                ClaimAnswer { request: pending.request.clone(), outcome },
+            ));
             false
         });
-        if stale {
+        if is_stale {
             self.confirmed = None;
         }
     }
@@ -308,7 +314,7 @@
         draft.records.retain(|_, record| record.expires > unix_time);
         let expires = unix_time + config.retention.as_secs();
         for pending in &self.pending {
-            apply(&mut draft, &pending.wish, expires);
+            apply(&mut draft, &pending.request, expires);
         }
         let (expected, value) = (confirmed.version, draft.encode());
         self.draft = Some(draft);
@@ -316,49 +322,51 @@
     }
 }
 
-enum Settled {
+enum Resolution {
     /// A write is needed.
-    Open,
-    /// The contents decide.
-    As(Verdict),
+    NeedsWrite,
+    /// The stored contents determine the outcome.
+    Decided(ClaimOutcome),
 }
 
-fn settle(contents: &ClaimShard, wish: &ClaimRequest) -> Settled {
-    let record = contents.records.get(&wish.key);
-    let own = record.filter(|record| record.request == wish.request);
-    match (wish.intent, own, record) {
+fn resolve(contents: &ClaimShard, request: &ClaimRequest) -> Resolution {
+    let record = contents.records.get(&request.key);
+    let own = record.filter(|record| record.request == request.request);
+    match (request.intent, own, record) {
         (Intent::Take, Some(own), _) if own.state != ClaimState::Released => {
-            Settled::As(Verdict::Kept)
+            Resolution::Decided(ClaimOutcome::Kept)
         }
-        // A request that was released is over: its late wish must not take the claim again.
+        // A request that released its claim has ended; a delayed message must not reacquire it.
         (Intent::Take, Some(own), _) => {
-            Settled::As(Verdict::Taken { by: own.request, state: own.state })
+            Resolution::Decided(ClaimOutcome::Taken { by: own.request, state: own.state })
         }
         (Intent::Take, None, Some(other)) if other.state != ClaimState::Released => {
-            Settled::As(Verdict::Taken { by: other.request, state: other.state })
+            Resolution::Decided(ClaimOutcome::Taken { by: other.request, state: other.state })
+        }
+        (Intent::Take, None, _) => Resolution::NeedsWrite,
+        // A claim that the request does not hold needs no release or completion.
+        (Intent::Release | Intent::Complete { .. }, None, _) => {
+            Resolution::Decided(ClaimOutcome::Kept)
         }
-        (Intent::Take, None, _) => Settled::Open,
-        // Notes about a claim that the request does not hold have nothing to change.
-        (Intent::Release | Intent::Complete { .. }, None, _) => Settled::As(Verdict::Kept),
         (Intent::Release, Some(own), _) if own.state != ClaimState::Held => {
-            Settled::As(Verdict::Kept)
+            Resolution::Decided(ClaimOutcome::Kept)
         }
         (Intent::Complete { .. }, Some(own), _) if own.state != ClaimState::Held => {
-            Settled::As(Verdict::Kept)
+            Resolution::Decided(ClaimOutcome::Kept)
         }
-        _ => Settled::Open,
+        _ => Resolution::NeedsWrite,
     }
 }
 
-fn apply(draft: &mut ClaimShard, wish: &ClaimRequest, expires: u64) {
-    if matches!(settle(draft, wish), Settled::As(_)) {
+fn apply(draft: &mut ClaimShard, request: &ClaimRequest, expires: u64) {
+    if matches!(resolve(draft, request), Resolution::Decided(_)) {
         return;
     }
-    let state = match wish.intent {
+    let state = match request.intent {
         Intent::Take => ClaimState::Held,
         Intent::Release => ClaimState::Released,
         Intent::Complete { status } => ClaimState::Completed { status },
     };
-    let record = ClaimRecord { request: wish.request, state, expires };
-    draft.records.insert(wish.key.clone(), record);
+    let record = ClaimRecord { request: request.request, state, expires };
+    draft.records.insert(request.key.clone(), record);
 }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,10 +1,10 @@
-//! Claims: the record, kept in the platform's object API, that a request with an idempotency key
-//! has been taken up, so that its repeat through another gateway does not run it twice.
+//! Claims on idempotency keys: records in the platform's object API that keep a request from
+//! running twice if it is repeated through another gateway.
 //!
-//! Claims are sharded by key. Each shard is one object, changed only by conditional update: that
-//! alone is the safety. Which process writes a shard (the first scheduler in rendezvous order) only
-//! avoids conflicts and lets many claims share a write. A write whose answer was lost is settled by
-//! reading back: a claim names the request that holds it.
+//! Claims are sharded by key. Each shard is one object that is only changed by conditional writes,
+//! which alone ensure safety. Routing a shard's claims to one process (the first scheduler in
+//! rendezvous order) avoids conflicts and batches writes. After a write whose answer was lost, the
+//! shard is read again; a claim names the request that holds it.
 
 mod client;
 mod keeper;
@@ -13,8 +13,8 @@
 pub use client::{ClaimClient, ClaimClientConfig};
 pub use keeper::{CallFailure, ClaimKeeper, KeeperConfig, Operation, OperationKind};
 pub use record::{
-    ClaimAnswer, ClaimKey, ClaimMessage, ClaimRecord, ClaimRequest, ClaimShard, ClaimState, Intent,
-    SHARD_COUNT, ShardIndex, ShardReadError, Verdict,
+    ClaimAnswer, ClaimKey, ClaimMessage, ClaimOutcome, ClaimRecord, ClaimRequest, ClaimShard,
+    ClaimState, Intent, SHARD_COUNT, ShardIndex, ShardReadError,
 };
 
 #[cfg(test)]
--- a/crates/claims/src/record.rs
+++ b/crates/claims/src/record.rs
@@ -1,4 +1,4 @@
-//! Claim records and the messages about them.
+//! Claim records and messages.
 
 use derive_more::{Display, Error};
 use mastbay_types::{RequestId, ServiceName, TenantName};
@@ -9,22 +9,22 @@
 /// Number of shard objects.
 pub const SHARD_COUNT: u16 = 16;
 
-/// One of the shard objects.
+/// Index of a shard object.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
 #[display("{_0:02}")]
 pub struct ShardIndex(pub u16);
 
-/// Bytes of the digest kept for a key.
+/// Length of a key digest, in bytes.
 const KEY_BYTES: usize = 16;
 
-/// What a claim is about: a digest of tenant, service and the caller's idempotency key.
+/// Key of a claim: a digest of tenant, service and the caller's idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
 pub struct ClaimKey(String);
 
 impl ClaimKey {
-    /// The key for a caller's idempotency key. Tenants never share one.
+    /// Computes the key for an idempotency key. Keys of different tenants and services differ.
     pub fn new(tenant: &TenantName, service: &ServiceName, idempotency_key: &str) -> Self {
         let mut digest = Sha256::new();
         for part in [tenant.as_str(), service.as_str(), idempotency_key] {
@@ -34,35 +34,35 @@
         Self(hex::encode(&digest.finalize()[..KEY_BYTES]))
     }
 
-    /// The shard that holds the claim.
+    /// Returns the shard that contains the claim.
     pub fn shard(&self) -> ShardIndex {
         let number = u16::from_str_radix(self.0.get(..4).unwrap_or_default(), 16);
         ShardIndex(number.unwrap_or(0) % SHARD_COUNT)
     }
 }
 
-/// How far the request that holds a claim has come.
+/// State of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// It may run or have run.
+    /// The request may run or have run.
     Held,
-    /// It certainly did not run and never will: the key is free again.
+    /// The request did not run and never will; the key can be claimed again.
     Released,
-    /// It was answered.
+    /// The request was answered.
     Completed {
         /// The HTTP status of the answer.
         status: u16,
     },
 }
 
-/// One claim.
+/// Stored record of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// The request that holds the claim.
     pub request: RequestId,
-    /// How far it has come.
+    /// State of the claim.
     pub state: ClaimState,
-    /// Unix time in seconds after which the record may be dropped.
+    /// Unix time in seconds after which the record may be removed.
     pub expires: u64,
 }
 
@@ -73,7 +73,7 @@
     pub records: BTreeMap<ClaimKey, ClaimRecord>,
 }
 
-/// A shard object's bytes are no shard.
+/// Error of decoding a shard object.
 #[derive(Debug, Display, Error)]
 #[display("the claim shard cannot be read: {source}")]
 pub struct ShardReadError {
@@ -82,73 +82,74 @@
 }
 
 impl ClaimShard {
-    /// Reads an object's bytes.
+    /// Decodes the bytes of an object.
     pub fn decode(bytes: &[u8]) -> Result<Self, ShardReadError> {
         serde_json::from_slice(bytes).map_err(|source| ShardReadError { source })
     }
 
-    /// The bytes to store.
+    /// Encodes the shard for storage.
     pub fn encode(&self) -> Vec<u8> {
-        // The types hold nothing that JSON cannot.
+        // Serialization cannot fail: the types contain only string keys and plain values.
         serde_json::to_vec(self).unwrap_or_default()
     }
 }
 
-/// What a gateway wants with a claim.
+/// Action of a gateway on a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Intent {
-    /// Take it, before the request may be sent.
+    /// Acquire the claim; required before the request is sent.
     Take,
-    /// Give it back: the request did not run and never will.
+    /// Release the claim: the request did not run and never will.
     Release,
-    /// Note that the request was answered.
+    /// Record that the request was answered.
     Complete {
         /// The HTTP status of the answer.
         status: u16,
     },
 }
 
-/// A gateway's wish.
+/// A gateway's request to change a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The claim.
+    /// Key of the claim.
     pub key: ClaimKey,
-    /// The request on whose behalf.
+    /// The caller's request.
     pub request: RequestId,
-    /// What for.
+    /// Action on the claim.
     pub intent: Intent,
 }
 
-/// What became of a wish.
+/// Outcome of a claim request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
-    /// The claim is kept as wished.
+pub enum ClaimOutcome {
+    /// The claim is stored as requested.
     Kept,
     /// Another request holds the claim.
     Taken {
-        /// That request.
+        /// The other request.
         by: RequestId,
-        /// How far it has come.
+        /// State of its claim.
         state: ClaimState,
     },
-    /// The platform did not answer in time. The wish may yet take effect.
+    /// The platform did not answer in time. The claim request may still take effect.
     Unavailable,
 }
 
-/// A keeper's answer.
+/// Answer of a keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimAnswer {
-    /// The wish.
-    pub wish: ClaimRequest,
-    /// What became of it.
-    pub verdict: Verdict,
+    /// The answered request.
+    pub request: ClaimRequest,
+    /// Its outcome.
+    pub outcome: ClaimOutcome,
 }
 
 /// A message about claims.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimMessage {
     /// From a gateway to a keeper.
-    Wish(ClaimRequest),
+    #[serde(rename = "Wish")]
+    Request(ClaimRequest),
     /// From a keeper to a gateway.
     Answer(ClaimAnswer),
 }
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -3,7 +3,7 @@
 use crate::duty::GatewayDuty;
 use crate::request::AcceptedRequest;
 use mastbay_attempts::{Exchange, Outcome, Step};
-use mastbay_claims::{ClaimRequest, ClaimState, Intent, Verdict};
+use mastbay_claims::{ClaimOutcome, ClaimRequest, ClaimState, Intent};
 use mastbay_web::within;
 
 fn wish(request: &AcceptedRequest, intent: Intent) -> Option<ClaimRequest> {
@@ -19,11 +19,11 @@
     let verdict = duty.take_claim(wish.clone());
     let time_left = request.deadline.since(duty.node().now());
     match within(time_left, verdict.recv()).await {
-        Ok(Ok(Verdict::Kept)) => exchange.claim_kept(),
-        Ok(Ok(Verdict::Taken { state, .. })) => {
+        Ok(Ok(ClaimOutcome::Kept)) => exchange.claim_kept(),
+        Ok(Ok(ClaimOutcome::Taken { state, .. })) => {
             exchange.claim_taken(matches!(state, ClaimState::Completed { .. }))
         }
-        Ok(Ok(Verdict::Unavailable) | Err(_)) | Err(_) => {
+        Ok(Ok(ClaimOutcome::Unavailable) | Err(_)) | Err(_) => {
             duty.forget_claim(&wish);
             exchange.claim_unavailable()
         }
--- a/crates/gateway/src/duty/messages.rs
+++ b/crates/gateway/src/duty/messages.rs
@@ -48,7 +48,7 @@
             }
             // Meant for schedulers, or handled by the node itself.
             Message::Report(_)
-            | Message::Claim(ClaimMessage::Wish(_))
+            | Message::Claim(ClaimMessage::Request(_))
             | Message::Machines(_)
             | Message::Membership(_)
             | Message::Spread(_) => {}
--- a/crates/gateway/src/duty/mod.rs
+++ b/crates/gateway/src/duty/mod.rs
@@ -10,7 +10,7 @@
 use crate::settings::GatewaySettings;
 use mastbay_attempts::{NotRunReason, Outcome, RetryBudget};
 use mastbay_claims::{
-    ClaimAnswer, ClaimClient, ClaimClientConfig, ClaimMessage, ClaimRequest, Intent, Verdict,
+    ClaimAnswer, ClaimClient, ClaimClientConfig, ClaimMessage, ClaimOutcome, ClaimRequest, Intent,
 };
 use mastbay_configuration::Backend;
 use mastbay_grants::{Assignment, Demand, DemandConfig};
@@ -37,7 +37,7 @@
     demands: BTreeMap<CellId, Demand>,
     waiters: HashMap<RequestId, Waiter>,
     claims: ClaimClient,
-    claim_waiters: HashMap<RequestId, Sender<Verdict>>,
+    claim_waiters: HashMap<RequestId, Sender<ClaimOutcome>>,
     budgets: HashMap<ServiceName, RetryBudget>,
     journal: Journal,
     /// Schedulers alive, before each cell's own order.
@@ -139,7 +139,7 @@
         }
         demand.enqueue(&request.tenant, request.name.id);
         let budget = state.budgets.entry(request.cell.service.clone()).or_default();
-        budget.note_request();
+        budget.record_request();
         let receiver = add_waiter(&mut state, &request.cell, request.name.id);
         drop(state);
         self.flush();
@@ -212,11 +212,11 @@
     }
 
     /// Asks for a claim. The receiver gets the verdict.
-    pub fn take_claim(&self, wish: ClaimRequest) -> Receiver<Verdict> {
+    pub fn take_claim(&self, wish: ClaimRequest) -> Receiver<ClaimOutcome> {
         let (sender, receiver) = smol::channel::bounded(1);
         let mut state = self.lock();
         state.claim_waiters.insert(wish.request, sender);
-        state.claims.wish(self.node.now(), wish);
+        state.claims.submit(self.node.now(), wish);
         drop(state);
         self.flush();
         receiver
@@ -232,7 +232,7 @@
     /// Notes in the claim what became of its request.
     pub fn note_claim(&self, wish: ClaimRequest) {
         let now = self.node.now();
-        self.lock().claims.wish(now, wish);
+        self.lock().claims.submit(now, wish);
         self.flush();
     }
 
@@ -286,7 +286,7 @@
         }
         drop(state);
         for (to, wish) in wishes {
-            outgoing.push((to, Message::Claim(ClaimMessage::Wish(wish))));
+            outgoing.push((to, Message::Claim(ClaimMessage::Request(wish))));
         }
         for (to, message) in outgoing {
             self.node.send(&to, message);
@@ -362,12 +362,12 @@
 }
 
 fn settle_claim(state: &mut State, answer: ClaimAnswer) {
-    if answer.wish.intent != Intent::Take {
+    if answer.request.intent != Intent::Take {
         return;
     }
-    if let Some(waiter) = state.claim_waiters.remove(&answer.wish.request) {
+    if let Some(waiter) = state.claim_waiters.remove(&answer.request.request) {
         // A request that no longer waits has settled its claim itself.
-        let _ = waiter.try_send(answer.verdict);
+        let _ = waiter.try_send(answer.outcome);
     }
 }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -13,7 +13,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::{Request, Response, StatusCode};
-use mastbay_attempts::{Exchange, Failure, NotRunReason, Outcome, Stage, Step, Terms};
+use mastbay_attempts::{Exchange, Failure, NotRunReason, Outcome, RequestPolicy, Stage, Step};
 use mastbay_configuration::ServiceKind;
 use mastbay_grants::Assignment;
 use mastbay_telemetry::{HopSpan, TraceContext};
@@ -104,18 +104,18 @@
         reply: Sender<Response<Body>>,
         caller: Receiver<Infallible>,
     ) -> Self {
-        let terms = Terms {
+        let policy = RequestPolicy {
             repeatable: request.service.repeatable,
             claim: request.claim.is_some(),
             claim_required: request.service.claims == mastbay_configuration::ClaimPolicy::Required,
             deadline: request.deadline,
-            most_tries: duty.settings().most_tries,
+            max_attempts: duty.settings().most_tries,
         };
         let span = HopSpan::start("gateway", request.name.trace, &mut duty.node().random());
         Self {
             duty,
             request,
-            exchange: Exchange::new(terms),
+            exchange: Exchange::new(policy),
             ticket: None,
             assignment: None,
             reply,
--- a/crates/scheduler/src/duty.rs
+++ b/crates/scheduler/src/duty.rs
@@ -161,9 +161,9 @@
                 drop(state);
                 self.send_grants(outgoing);
             }
-            Message::Claim(ClaimMessage::Wish(wish)) => {
+            Message::Claim(ClaimMessage::Request(wish)) => {
                 let now = self.node.now();
-                self.with_keeper(|keeper| keeper.handle_wish(now, from, wish));
+                self.with_keeper(|keeper| keeper.handle_request(now, from, wish));
                 self.wake();
             }
             Message::Machines(message) => self.handle_machines(from, message),
--- a/crates/simulation/src/safety/model/caller.rs
+++ b/crates/simulation/src/safety/model/caller.rs
@@ -2,7 +2,7 @@
 
 use super::super::plan::{Promise, Step};
 use super::{Event, GatewayEvent, Model, Sending, Told};
-use mastbay_attempts::{Exchange, Outcome, Terms};
+use mastbay_attempts::{Exchange, Outcome, RequestPolicy};
 use mastbay_types::RequestId;
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
         let gateway = number % 2;
         let claim =
             matches!(self.plan.promise, Promise::ClaimRequired | Promise::ClaimWhenAvailable);
-        let exchange = Exchange::new(Terms {
+        let exchange = Exchange::new(RequestPolicy {
             repeatable: self.plan.promise == Promise::Repeatable,
             claim,
             claim_required: self.plan.promise == Promise::ClaimRequired,
             deadline: self.now + DEADLINE,
-            most_tries: 3,
+            max_attempts: 3,
         });
         let id = RequestId::from_number(number as u128 + 1);
         let told = (!self.gateways[gateway].alive).then_some(Told::Broken);
--- a/crates/simulation/src/safety/model/gateway.rs
+++ b/crates/simulation/src/safety/model/gateway.rs
@@ -3,7 +3,7 @@
 use super::super::plan::{Mutation, Step};
 use super::{Carried, Event, GatewayEvent, Model, Told, process};
 use mastbay_attempts::{Failure, NotRunReason, Outcome, Stage, Step as NextStep};
-use mastbay_claims::{ClaimAnswer, ClaimRequest, ClaimState, Intent, Verdict as ClaimVerdict};
+use mastbay_claims::{ClaimAnswer, ClaimOutcome, ClaimRequest, ClaimState, Intent};
 use std::time::Duration;
 
 impl Model<'_> {
@@ -13,7 +13,7 @@
                 self.reach(number, Step::Claiming);
                 let gateway = self.sendings[number].gateway;
                 let wish = self.wish(number, Intent::Take);
-                self.gateways[gateway].claims.wish(self.now, wish);
+                self.gateways[gateway].claims.submit(self.now, wish);
                 self.poll_claims(gateway);
             }
             NextStep::Queue => {
@@ -48,7 +48,7 @@
         };
         if let (true, Some(intent)) = (self.sendings[number].exchange.claimed(), intent) {
             let wish = self.wish(number, intent);
-            self.gateways[gateway].claims.wish(self.now, wish);
+            self.gateways[gateway].claims.submit(self.now, wish);
             self.poll_claims(gateway);
         }
         let told = match outcome {
@@ -173,10 +173,10 @@
     }
 
     pub(super) fn settle(&mut self, gateway: usize, answer: ClaimAnswer) {
-        if answer.wish.intent != Intent::Take {
+        if answer.request.intent != Intent::Take {
             return;
         }
-        let found = self.sendings.iter().position(|sending| sending.id == answer.wish.request);
+        let found = self.sendings.iter().position(|sending| sending.id == answer.request.request);
         let Some(number) = found else { return };
         let sending = &mut self.sendings[number];
         if sending.over || sending.gateway != gateway || sending.exchange.stage() != Stage::Claiming
@@ -184,11 +184,11 @@
             return;
         }
         let run_anyway = self.plan.mutation == Some(Mutation::RunWithoutClaim);
-        let step = match answer.verdict {
-            ClaimVerdict::Kept => sending.exchange.claim_kept(),
-            ClaimVerdict::Unavailable if run_anyway => sending.exchange.claim_kept(),
-            ClaimVerdict::Unavailable => sending.exchange.claim_unavailable(),
-            ClaimVerdict::Taken { state, .. } => {
+        let step = match answer.outcome {
+            ClaimOutcome::Kept => sending.exchange.claim_kept(),
+            ClaimOutcome::Unavailable if run_anyway => sending.exchange.claim_kept(),
+            ClaimOutcome::Unavailable => sending.exchange.claim_unavailable(),
+            ClaimOutcome::Taken { state, .. } => {
                 sending.exchange.claim_taken(matches!(state, ClaimState::Completed { .. }))
             }
         };
--- a/crates/simulation/src/safety/model/mod.rs
+++ b/crates/simulation/src/safety/model/mod.rs
@@ -177,8 +177,8 @@
         let gateway = || {
             let config = ClaimClientConfig {
                 answer_timeout: Duration::from_millis(150),
-                patience: Duration::from_millis(500),
-                note_patience: Duration::from_secs(6),
+                timeout: Duration::from_millis(500),
+                background_timeout: Duration::from_secs(6),
             };
             let mut claims = ClaimClient::new(config);
             claims.set_keepers(keeper_names.clone());
@@ -193,7 +193,7 @@
         let keeper = || {
             let config = KeeperConfig {
                 spacing: Duration::from_millis(2),
-                patience: Duration::from_millis(400),
+                timeout: Duration::from_millis(400),
                 ..KeeperConfig::default()
             };
             let keeper = ClaimKeeper::new(config);
@@ -258,7 +258,7 @@
                     self.events.push(later, Carried::Wish { keeper, from, wish });
                 } else if self.keepers[keeper].alive {
                     let gateway = process("gateway", from);
-                    self.keepers[keeper].keeper.handle_wish(self.now, &gateway, wish);
+                    self.keepers[keeper].keeper.handle_request(self.now, &gateway, wish);
                     self.poll_keeper(keeper);
                 }
             }
