--- a/crates/gateway/src/duty/mod.rs
+++ b/crates/gateway/src/duty/mod.rs
@@ -10,7 +10,7 @@
 use crate::settings::GatewaySettings;
 use mastbay_attempts::{NotRunReason, Outcome, RetryBudget};
 use mastbay_claims::{
-    ClaimAnswer, ClaimClient, ClaimClientConfig, ClaimMessage, ClaimRequest, Intent, Verdict,
+    ClaimAnswer, ClaimClient, ClaimClientConfig, ClaimMessage, ClaimOutcome, ClaimRequest, Intent,
 };
 use mastbay_configuration::Backend;
 use mastbay_grants::{Assignment, Demand, DemandConfig};
@@ -37,7 +37,7 @@
     demands: BTreeMap<CellId, Demand>,
     waiters: HashMap<RequestId, Waiter>,
     claims: ClaimClient,
-    claim_waiters: HashMap<RequestId, Sender<Verdict>>,
+    claim_waiters: HashMap<RequestId, Sender<ClaimOutcome>>,
     budgets: HashMap<ServiceName, RetryBudget>,
     journal: Journal,
     /// Live schedulers; each cell orders them by rendezvous hashing.
@@ -140,7 +140,7 @@
         }
         demand.enqueue(&request.tenant, request.identity.id);
         let budget = state.budgets.entry(request.cell.service.clone()).or_default();
-        budget.note_request();
+        budget.record_request();
         let receiver = add_waiter(&mut state, &request.cell, request.identity.id);
         drop(state);
         self.flush();
@@ -213,11 +213,11 @@
     }
 
     /// Requests a claim. The receiver gets the answer.
-    pub fn take_claim(&self, claim_request: ClaimRequest) -> Receiver<Verdict> {
+    pub fn take_claim(&self, claim_request: ClaimRequest) -> Receiver<ClaimOutcome> {
         let (sender, receiver) = smol::channel::bounded(1);
         let mut state = self.lock();
         state.claim_waiters.insert(claim_request.request, sender);
-        state.claims.wish(self.node.now(), claim_request);
+        state.claims.submit(self.node.now(), claim_request);
         drop(state);
         self.flush();
         receiver
@@ -233,7 +233,7 @@
     /// Sends the settlement of a claim to its keeper.
     pub fn settle_claim(&self, claim_request: ClaimRequest) {
         let now = self.node.now();
-        self.lock().claims.wish(now, claim_request);
+        self.lock().claims.submit(now, claim_request);
         self.flush();
     }
 
@@ -287,7 +287,7 @@
         }
         drop(state);
         for (to, claim_request) in claim_requests {
-            outgoing.push((to, Message::Claim(ClaimMessage::Wish(claim_request))));
+            outgoing.push((to, Message::Claim(ClaimMessage::Request(claim_request))));
         }
         for (to, message) in outgoing {
             self.node.send(&to, message);
@@ -363,12 +363,12 @@
 }
 
 fn deliver_claim_answer(state: &mut State, answer: ClaimAnswer) {
-    if answer.wish.intent != Intent::Take {
+    if answer.request.intent != Intent::Take {
         return;
     }
-    if let Some(waiter) = state.claim_waiters.remove(&answer.wish.request) {
+    if let Some(waiter) = state.claim_waiters.remove(&answer.request.request) {
         // Fails only if the request no longer waits for the answer.
-        let _ = waiter.try_send(answer.verdict);
+        let _ = waiter.try_send(answer.outcome);
     }
 }
 
