--- a/crates/telemetry/src/admin.rs
+++ b/crates/telemetry/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin address: `/healthz`, `/readyz`, `/metrics`, `/status` and `/explain/SUBJECT`.
+//! The admin HTTP endpoints: `/healthz`, `/readyz`, `/metrics`, `/status` and `/explain/SUBJECT`.
 
 use derive_more::Display;
 use hyper::{Response, StatusCode};
@@ -8,27 +8,28 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-/// Why a process takes no work.
+/// Why a process is not ready for work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum NotReady {
-    /// It has asked the platform and its peers for the configuration and waits for answers.
+    /// The process has requested the configuration from the platform and its peers and waits for
+    /// responses.
     #[display("asking for the configuration")]
     Asking,
-    /// Nobody knows a configuration: none was ever applied.
+    /// Neither the platform nor a peer has a configuration: none was ever applied.
     #[display("no configuration was applied")]
     Unconfigured,
-    /// It stops.
+    /// The process is shutting down.
     #[display("stopping")]
     Stopping,
 }
 
-/// What a process tells about itself.
+/// State that a process exposes at its admin address.
 pub trait Inspect: Send + Sync + 'static {
-    /// Whether it takes work.
+    /// Returns `Ok` if the process is ready for work, otherwise the reason why not.
     fn ready(&self) -> Result<(), NotReady>;
-    /// Its state, for operators.
+    /// Returns the state of the process for operators, served at `/status`.
     fn status(&self) -> Value;
-    /// What it knows about a request id or a tenant, `None` if nothing.
+    /// Returns the details of a request id or a tenant, or `None` if it is unknown.
     fn explain(&self, subject: &str) -> Option<Value>;
 }
 
@@ -52,7 +53,7 @@
         "/metrics" => metrics(registry),
         "/status" => value(StatusCode::OK, &process.status()),
         _ => match path.strip_prefix("/explain/").and_then(|subject| process.explain(subject)) {
-            Some(account) => value(StatusCode::OK, &account),
+            Some(details) => value(StatusCode::OK, &details),
             None => value(StatusCode::NOT_FOUND, &json!({ "error": { "code": "not_found" } })),
         },
     }
--- a/crates/telemetry/src/export.rs
+++ b/crates/telemetry/src/export.rs
@@ -1,5 +1,5 @@
-//! Export of spans by OTLP over HTTP, in batches. Spans that the collector does not take in time are
-//! dropped and counted: tracing never holds a request up.
+//! Batched export of spans by OTLP over HTTP. Spans are dropped and counted when the queue is full
+//! or the collector does not accept a batch in time, so tracing never delays a request.
 
 use crate::trace_context::TraceContext;
 use bytes::Bytes;
@@ -19,65 +19,66 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Spans that may wait for the next batch.
-const MOST_WAITING: usize = 8_192;
-/// Spans in one batch.
-const BATCH: usize = 512;
-/// Time between two batches.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// Time that the collector has to take a batch.
-const LIMIT: Duration = Duration::from_secs(2);
+/// Capacity of the queue of spans that wait for export.
+const MAX_QUEUED_SPANS: usize = 8_192;
+/// Largest number of spans in one batch.
+const MAX_BATCH_SIZE: usize = 512;
+/// Time for which spans are gathered before they are exported.
+const EXPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of one export request to the collector.
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A hop that has ended.
+/// The span of a hop that has ended.
 #[derive(Debug, Clone)]
 pub(crate) struct SpanRecord {
     pub(crate) name: &'static str,
     pub(crate) context: TraceContext,
     pub(crate) parent: u64,
-    pub(crate) began: SystemTime,
-    pub(crate) took: Duration,
+    pub(crate) started_at: SystemTime,
+    pub(crate) duration: Duration,
     pub(crate) request: String,
     pub(crate) result: String,
 }
 
-/// Counts since the start.
+/// Numbers of spans exported and dropped since the process started.
 #[derive(Debug, Default)]
 pub struct ExportCounts {
-    /// Spans that the collector took.
+    /// Spans that the collector accepted.
     pub exported: AtomicU64,
-    /// Spans dropped.
+    /// Spans dropped because the queue was full or an export failed.
     pub dropped: AtomicU64,
 }
 
-struct Export {
+struct Exporter {
     queue: Sender<SpanRecord>,
     counts: ExportCounts,
 }
 
-/// The process's export. Like logging, there is one or none.
-static EXPORT: OnceLock<Export> = OnceLock::new();
+/// The exporter of the process, unset while spans are not exported.
+static EXPORTER: OnceLock<Exporter> = OnceLock::new();
 
-/// Offers a span that has ended; it is only made if spans are exported.
-pub(crate) fn offer(record: impl FnOnce() -> SpanRecord) {
-    let Some(export) = EXPORT.get() else { return };
-    if export.queue.try_send(record()).is_err() {
-        export.counts.dropped.fetch_add(1, Ordering::Relaxed);
+/// Queues a span that has ended. `record` is called only if spans are exported; the span is dropped
+/// if the queue is full.
+pub(crate) fn enqueue(record: impl FnOnce() -> SpanRecord) {
+    let Some(exporter) = EXPORTER.get() else { return };
+    if exporter.queue.try_send(record()).is_err() {
+        exporter.counts.dropped.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Starts to export spans to the collector at `address`, under a service name. A second call changes
-/// nothing. Gives the counts.
+/// Starts the export of spans to the collector at `address` with `service` as `service.name`, and
+/// returns its counts. Further calls only return the counts of the running export.
 pub fn start_export(address: SocketAddr, service: &'static str) -> &'static ExportCounts {
-    let (sender, queue) = smol::channel::bounded(MOST_WAITING);
-    let mut fresh = false;
-    let export = EXPORT.get_or_init(|| {
-        fresh = true;
-        Export { queue: sender, counts: ExportCounts::default() }
+    let (sender, queue) = smol::channel::bounded(MAX_QUEUED_SPANS);
+    let mut is_new = false;
+    let exporter = EXPORTER.get_or_init(|| {
+        is_new = true;
+        Exporter { queue: sender, counts: ExportCounts::default() }
     });
-    if fresh {
-        smol::spawn(run(address, service, queue, &export.counts)).detach();
+    if is_new {
+        smol::spawn(run(address, service, queue, &exporter.counts)).detach();
     }
-    &export.counts
+    &exporter.counts
 }
 
 async fn run(
@@ -88,11 +89,11 @@
 ) {
     let client = Client::new(ClientConfig::default());
     while let Ok(first) = queue.recv().await {
-        smol::Timer::after(INTERVAL).await;
+        smol::Timer::after(EXPORT_INTERVAL).await;
         let mut batch = vec![first];
         while let Ok(record) = queue.try_recv() {
             batch.push(record);
-            if batch.len() == BATCH {
+            if batch.len() == MAX_BATCH_SIZE {
                 post(&client, address, service, std::mem::take(&mut batch), counts).await;
             }
         }
@@ -119,7 +120,7 @@
         .header(CONTENT_TYPE, "application/x-protobuf")
         .body(Full::new(body))
         .unwrap_or_default();
-    match client.call(address, request, LIMIT).await {
+    match client.call(address, request, EXPORT_TIMEOUT).await {
         Ok(reply) if reply.status.is_success() => {
             counts.exported.fetch_add(count, Ordering::Relaxed);
         }
@@ -145,14 +146,14 @@
 }
 
 fn span(record: SpanRecord) -> Span {
-    let began = record.began.duration_since(UNIX_EPOCH).unwrap_or_default();
+    let started_at = record.started_at.duration_since(UNIX_EPOCH).unwrap_or_default();
     Span {
         trace_id: record.context.trace.to_be_bytes().to_vec(),
         span_id: record.context.span.to_be_bytes().to_vec(),
         parent_span_id: record.parent.to_be_bytes().to_vec(),
         name: record.name.to_owned(),
-        start_time_unix_nano: nanoseconds(began),
-        end_time_unix_nano: nanoseconds(began + record.took),
+        start_time_unix_nano: nanoseconds(started_at),
+        end_time_unix_nano: nanoseconds(started_at + record.duration),
         attributes: vec![
             attribute("mastbay.request", &record.request),
             attribute("mastbay.result", &record.result),
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a process tells about itself: log lines of key=value pairs, spans joined by W3C trace
-//! context, and an admin address with health, readiness, metrics and its own account of things.
+//! Observability of a process: log lines of key=value pairs, spans with W3C trace context, and an
+//! admin address that serves health, readiness, metrics, status and details of requests.
 
 mod admin;
 mod export;
@@ -13,7 +13,7 @@
 pub use span::HopSpan;
 pub use trace_context::{ParseTraceContextError, TraceContext};
 
-/// The registry type that processes register their metrics with.
+/// Registry for the metrics of a process, served at `/metrics`.
 pub use prometheus_client::registry::Registry;
 
 #[cfg(test)]
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,4 +1,5 @@
-//! Log lines: one line of key=value pairs for each event, on standard error or standard output.
+//! Logging in logfmt: one line of key=value pairs for each event, on standard error or standard
+//! output.
 
 use derive_more::{Display, Error};
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
@@ -6,16 +7,16 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Logging could not be started.
+/// An error that prevents logging from starting.
 #[derive(Debug, Display, Error)]
 pub enum LoggingError {
-    /// The filter is not understood.
+    /// The filter cannot be parsed.
     #[display("the log filter is not understood: {source}")]
     Filter {
         /// The cause.
         source: tracing_subscriber::filter::ParseError,
     },
-    /// Logging was started before.
+    /// The process already has a logger.
     #[display("logging was started before: {source}")]
     Started {
         /// The cause.
@@ -23,7 +24,8 @@
     },
 }
 
-/// Starts logging with a filter such as `info` or `info,mastbay_gateway=debug`.
+/// Starts logging to standard error with a filter such as `info` or `info,mastbay_gateway=debug`.
+/// Writing a line may block.
 pub fn start_logging(filter: &str) -> Result<(), LoggingError> {
     let filter = EnvFilter::try_new(filter).map_err(|source| LoggingError::Filter { source })?;
     let lines = tracing_logfmt::builder()
@@ -38,28 +40,29 @@
         .map_err(|source| LoggingError::Started { source })
 }
 
-/// Lines that wait for a slow reader of standard output; further ones are dropped and counted.
-const BUFFERED_LINES: usize = 4_096;
+/// Lines buffered while standard output is blocked; further ones are dropped and counted.
+const MAX_BUFFERED_LINES: usize = 4_096;
 
-/// Logging to standard output that never blocks. Dropped, it writes what still waits.
+/// Guard of non-blocking logging to standard output. Dropping it flushes the buffered lines.
 pub struct OutputLog {
     dropped: ErrorCounter,
     _worker: WorkerGuard,
 }
 
 impl OutputLog {
-    /// Lines dropped so far, since the reader was too slow.
+    /// Returns the number of lines dropped so far because the buffer was full.
     pub fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
     }
 }
 
-/// Starts logging to standard output with a filter such as `info`. No line ever waits for a reader.
+/// Starts logging to standard output with a filter such as `info`. Writing a line never blocks:
+/// lines are dropped while the buffer is full.
 pub fn start_output_log(filter: &str) -> Result<OutputLog, LoggingError> {
     let filter = EnvFilter::try_new(filter).map_err(|source| LoggingError::Filter { source })?;
     let (writer, worker): (NonBlocking, WorkerGuard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(BUFFERED_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(std::io::stdout());
     let dropped = writer.error_counter();
     let lines = tracing_logfmt::builder()
--- a/crates/telemetry/src/span.rs
+++ b/crates/telemetry/src/span.rs
@@ -1,34 +1,34 @@
-//! Spans: one for each hop of a request, written to the log when the hop ends and, if set, exported.
+//! Spans: one for each hop of a request, logged when the hop ends and exported if an exporter runs.
 
-use crate::export::{SpanRecord, offer};
+use crate::export::{SpanRecord, enqueue};
 use crate::trace_context::TraceContext;
 use rand::Rng;
 use std::time::{Instant, SystemTime};
 
-/// A hop under way.
+/// The span of a hop in progress.
 #[derive(Debug, Clone)]
 pub struct HopSpan {
     name: &'static str,
     context: TraceContext,
     parent: u64,
     started: Instant,
-    began: SystemTime,
+    started_at: SystemTime,
 }
 
 impl HopSpan {
-    /// A hop below `parent`.
+    /// Starts a span that is a child of `parent`.
     pub fn start(name: &'static str, parent: TraceContext, random: &mut impl Rng) -> Self {
         let context = parent.child(random);
-        let (started, began) = (Instant::now(), SystemTime::now());
-        Self { name, context, parent: parent.span, started, began }
+        let (started, started_at) = (Instant::now(), SystemTime::now());
+        Self { name, context, parent: parent.span, started, started_at }
     }
 
-    /// What the next hop gets as its `traceparent`.
+    /// Returns the context to send to the next hop as its `traceparent`.
     pub fn context(&self) -> TraceContext {
         self.context
     }
 
-    /// Ends the hop. `request` and `result` are written with it.
+    /// Ends the span: logs it with the request id and the result, and queues it for export.
     pub fn finish(self, request: &str, result: &str) {
         tracing::info!(
             event = "span",
@@ -40,12 +40,12 @@
             request,
             result,
         );
-        offer(|| SpanRecord {
+        enqueue(|| SpanRecord {
             name: self.name,
             context: self.context,
             parent: self.parent,
-            began: self.began,
-            took: self.started.elapsed(),
+            started_at: self.started_at,
+            duration: self.started.elapsed(),
             request: request.to_owned(),
             result: result.to_owned(),
         });
--- a/crates/telemetry/src/tests.rs
+++ b/crates/telemetry/src/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of trace contexts and of the export of spans.
+
 use crate::TraceContext;
 
 #[test]
-fn a_traceparent_survives_and_bad_ones_are_refused() {
+fn traceparents_round_trip_and_invalid_ones_are_rejected() {
     let text = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     let context: TraceContext = text.parse().expect("a valid traceparent");
     assert_eq!(context.to_string(), text);
@@ -27,10 +29,10 @@
     use prost::Message;
     use std::time::Duration;
 
-    /// Numbers that are not random; spans only need some.
-    struct Counting(u64);
+    /// A deterministic generator that counts up.
+    struct CountingRng(u64);
 
-    impl rand::rand_core::TryRng for Counting {
+    impl rand::rand_core::TryRng for CountingRng {
         type Error = std::convert::Infallible;
 
         fn try_next_u32(&mut self) -> Result<u32, Self::Error> {
@@ -63,7 +65,7 @@
         }))
         .detach();
         start_export(address, "mastbay-test");
-        let mut random = Counting(1);
+        let mut random = CountingRng(1);
         let root = TraceContext::new_root(&mut random);
         let outer = HopSpan::start("gateway", root, &mut random);
         let inner = HopSpan::start("backend", outer.context(), &mut random);
--- a/crates/telemetry/src/trace_context.rs
+++ b/crates/telemetry/src/trace_context.rs
@@ -5,25 +5,25 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Position in a trace: which trace, and which span within it.
+/// A span's identity and sampling flag, as sent between hops.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TraceContext {
-    /// The trace, never zero.
+    /// Trace id, never zero.
     pub trace: u128,
-    /// The span, never zero.
+    /// Span id, never zero.
     pub span: u64,
-    /// Whether the caller records the trace.
+    /// Whether the sender records the trace.
     pub sampled: bool,
 }
 
 impl TraceContext {
-    /// The root of a new trace.
+    /// Creates the root span's context of a new trace, which is sampled.
     pub fn new_root(random: &mut impl Rng) -> Self {
         let trace = (u128::from(random.next_u64()) << 64) | u128::from(random.next_u64() | 1);
         Self { trace, span: random.next_u64() | 1, sampled: true }
     }
 
-    /// A new span within the same trace.
+    /// Creates the context of a new span within the same trace.
     pub fn child(self, random: &mut impl Rng) -> Self {
         Self { span: random.next_u64() | 1, ..self }
     }
@@ -36,7 +36,7 @@
     }
 }
 
-/// Text that is no trace context.
+/// The text is not a valid `traceparent` of version 00.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("not a traceparent of version 00")]
 pub struct ParseTraceContextError;
@@ -50,9 +50,9 @@
         let trace = hexadecimal(fields.next(), 32)?;
         let span = hexadecimal(fields.next(), 16)?;
         let flags = hexadecimal(fields.next(), 2)?;
-        let known = version == "00" && fields.next().is_none();
+        let supported = version == "00" && fields.next().is_none();
         let span = u64::try_from(span).map_err(|_| ParseTraceContextError)?;
-        if !known || trace == 0 || span == 0 {
+        if !supported || trace == 0 || span == 0 {
             return Err(ParseTraceContextError);
         }
         Ok(Self { trace, span, sampled: flags & 1 == 1 })
@@ -61,8 +61,8 @@
 
 fn hexadecimal(field: Option<&str>, digits: usize) -> Result<u128, ParseTraceContextError> {
     let field = field.filter(|field| field.len() == digits).ok_or(ParseTraceContextError)?;
-    let lower = |symbol: char| symbol.is_ascii_digit() || ('a'..='f').contains(&symbol);
-    if !field.chars().all(lower) {
+    let is_lower_hex = |symbol: char| symbol.is_ascii_digit() || ('a'..='f').contains(&symbol);
+    if !field.chars().all(is_lower_hex) {
         return Err(ParseTraceContextError);
     }
     u128::from_str_radix(field, 16).map_err(|_| ParseTraceContextError)
