--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -58,7 +58,7 @@
 
 fn caller_config(settings: &GatewaySettings) -> ServerConfig {
     ServerConfig {
-        most_connections: settings.max_connections,
+        max_connections: settings.max_connections,
         head_limit: settings.head_limit,
         ..ServerConfig::default()
     }
--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -9,45 +9,47 @@
 use smol::channel::Receiver;
 use smol::stream::StreamExt;
 
-/// The body of every response that a server of ours sends.
+/// The body of responses sent by a [`Server`](crate::Server).
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Ends a streamed body visibly: the connection closes before the body's proper end.
+/// An error that aborts a streamed body: the connection closes before the end of the body, so the
+/// receiver can tell that it is incomplete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("the answer broke off")]
 pub struct BodyError;
 
-/// An empty body.
+/// Creates an empty body.
 pub fn empty() -> Body {
     full(Bytes::new())
 }
 
-/// A body known in full.
+/// Creates a body from all its bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A JSON body; a value that JSON cannot hold becomes `null`.
+/// Serializes `value` as a JSON body, or `null` if it cannot be serialized.
 pub fn json(value: &impl Serialize) -> Body {
     full(serde_json::to_vec(value).unwrap_or_else(|_| b"null".to_vec()))
 }
 
-/// A body that ends when the channel closes, properly or, after an `Err`, visibly broken.
+/// Creates a body from a channel of chunks. It ends when the channel closes, and is aborted by an
+/// `Err`.
 pub fn streamed(chunks: Receiver<Result<Bytes, BodyError>>) -> Body {
     let frames = chunks.map(|chunk| chunk.map(Frame::data));
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
-/// Why a body could not be read whole.
+/// An error from reading a whole body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum ReadBodyError {
-    /// It is longer than allowed.
+    /// The body is longer than the limit.
     #[display("the body is longer than {limit} bytes")]
     TooLarge {
         /// The limit in bytes.
         limit: usize,
     },
-    /// It ended early or broke the protocol.
+    /// The body ended early or violated the protocol.
     #[display("the body broke off")]
     Broken,
 }
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls between processes, over connections kept open.
+//! HTTP client for calls between processes, with a pool of idle connections.
 
 use crate::body::{ReadBodyError, read_limited};
 use crate::connection::{ConnectError, Connection, ExchangeError};
@@ -15,11 +15,11 @@
 /// Settings of a [`Client`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientConfig {
-    /// Time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_limit: Duration,
     /// Largest response body accepted, in bytes.
     pub body_limit: usize,
-    /// Idle connections kept for each address.
+    /// Largest number of idle connections kept for each address.
     pub idle_per_address: usize,
 }
 
@@ -29,35 +29,35 @@
     }
 }
 
-/// Why a call gave no reply.
+/// An error of a call that got no complete reply.
 #[derive(Debug, Display, Error)]
 pub enum CallError {
-    /// No connection; nothing was sent.
+    /// No connection could be opened; nothing was sent.
     #[display("{_0}")]
     Connect(ConnectError),
-    /// The exchange failed.
+    /// The exchange failed before the head of the response.
     #[display("{_0}")]
     Exchange(ExchangeError),
     /// The response body could not be read.
     #[display("{_0}")]
     Body(ReadBodyError),
-    /// No reply in time; the call may have taken effect.
+    /// No complete reply arrived in time; the call may have taken effect.
     #[display("no reply in time")]
     TimedOut,
 }
 
-/// A whole reply.
+/// A response whose body has been read.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Its status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers of the response.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body of the response.
     pub body: Bytes,
 }
 
-/// A client that keeps connections open.
+/// An HTTP client that reuses connections.
 #[derive(Debug)]
 pub struct Client {
     config: ClientConfig,
@@ -65,26 +65,27 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client with an empty pool of connections.
     pub fn new(config: ClientConfig) -> Self {
         let idle = IdleConnections::new(config.idle_per_address);
         Self { config, idle }
     }
 
-    /// Makes a call. It is sent a second time only if the first certainly sent nothing.
+    /// Sends a request and reads the whole reply within `limit`. The request is retried once, on a
+    /// new connection, only if a pooled connection failed before any byte was written.
     pub async fn call(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         limit: Duration,
     ) -> Result<Reply, CallError> {
-        match within(limit, self.call_unbounded(address, request)).await {
+        match within(limit, self.call_without_timeout(address, request)).await {
             Ok(result) => result,
             Err(_) => Err(CallError::TimedOut),
         }
     }
 
-    async fn call_unbounded(
+    async fn call_without_timeout(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
--- a/crates/web/src/connection.rs
+++ b/crates/web/src/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection, which knows whether a failed exchange wrote anything.
+//! A client connection that reports whether a failed exchange wrote any bytes.
 
 use crate::counted::{Counted, WriteCount};
 use crate::wait::within;
@@ -13,10 +13,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A connection could not be opened; nothing was sent.
+/// An error from opening a connection; nothing was sent.
 #[derive(Debug, Display, Error)]
 pub enum ConnectError {
-    /// Refused or unreachable.
+    /// The address refused the connection or is unreachable.
     #[display("cannot connect to {address}: {source}")]
     Refused {
         /// The address.
@@ -24,13 +24,13 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// No answer in time.
+    /// The connection was not established in time.
     #[display("cannot connect to {address} in time")]
     TimedOut {
         /// The address.
         address: SocketAddr,
     },
-    /// The HTTP state could not be set up.
+    /// The HTTP connection could not be initialized.
     #[display("cannot start HTTP with {address}: {source}")]
     Handshake {
         /// The address.
@@ -40,11 +40,11 @@
     },
 }
 
-/// An exchange gave no response.
+/// An error of an exchange that got no response head.
 #[derive(Debug, Display, Error)]
 #[display("{}: {source}", if *written { "broke after bytes were sent" } else { "nothing was sent" })]
 pub struct ExchangeError {
-    /// Whether any byte of the request may have left.
+    /// Whether any byte of the request was written to the socket.
     pub written: bool,
     /// The cause.
     pub source: hyper::Error,
@@ -58,32 +58,31 @@
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Opens a connection within `limit`.
     pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, ConnectError> {
         let stream = match within(limit, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(source)) => return Err(ConnectError::Refused { address, source }),
             Err(_) => return Err(ConnectError::TimedOut { address }),
         };
-        // Without this small messages wait for the acknowledgement of earlier ones; a stream that
-        // refuses the option still works.
+        // Disables Nagle's algorithm, which delays small messages; the stream works without it too.
         let _ = stream.set_nodelay(true);
         let written = WriteCount::default();
         let counted = Counted::new(stream, written.clone());
         let (sender, connection) = handshake(FuturesIo::new(counted))
             .await
             .map_err(|source| ConnectError::Handshake { address, source })?;
-        // The driver's own error shows in the exchange that it ends.
+        // An error of the driver is also returned by the exchange in progress.
         smol::spawn(async move { connection.await.ok() }).detach();
         Ok(Self { sender, written })
     }
 
-    /// Whether a new exchange may begin: the last one has ended cleanly.
+    /// Returns whether a new exchange can start: the last one has ended cleanly.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its response.
+    /// Sends a request and waits for the head of the response.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -95,7 +94,7 @@
             .map_err(|source| ExchangeError { written: self.written.get() > before, source })
     }
 
-    /// Bytes written over the connection's life.
+    /// Returns the number of bytes written since the connection was opened.
     pub fn bytes_written(&self) -> u64 {
         self.written.get()
     }
--- a/crates/web/src/counted.rs
+++ b/crates/web/src/counted.rs
@@ -1,4 +1,4 @@
-//! A stream that counts the bytes handed to the operating system.
+//! A stream that counts the bytes written to the operating system.
 
 use smol::io::{AsyncRead, AsyncWrite};
 use std::io::{IoSlice, Result};
@@ -7,12 +7,12 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::task::{Context, Poll, ready};
 
-/// Bytes written so far to a connection.
+/// Shared counter of the bytes written to a connection.
 #[derive(Debug, Clone, Default)]
 pub struct WriteCount(Arc<AtomicU64>);
 
 impl WriteCount {
-    /// Bytes so far.
+    /// Returns the number of bytes written so far.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::SeqCst)
     }
@@ -22,7 +22,7 @@
     }
 }
 
-/// Wraps a stream and counts what is written to it.
+/// A stream wrapper that counts the bytes written.
 #[derive(Debug)]
 pub struct Counted<S> {
     stream: S,
@@ -30,7 +30,7 @@
 }
 
 impl<S> Counted<S> {
-    /// Counts what is written to `stream`.
+    /// Wraps `stream` and adds the bytes written to it to `written`.
     pub fn new(stream: S, written: WriteCount) -> Self {
         Self { stream, written }
     }
--- a/crates/web/src/idle.rs
+++ b/crates/web/src/idle.rs
@@ -1,4 +1,4 @@
-//! Connections kept open between exchanges. Only one whose last exchange ended cleanly is used again.
+//! A pool of idle connections. Only connections whose last exchange ended cleanly are reused.
 
 use crate::connection::Connection;
 use std::collections::HashMap;
@@ -8,17 +8,17 @@
 /// Idle connections by address.
 #[derive(Debug)]
 pub struct IdleConnections {
-    most_per_address: usize,
+    max_per_address: usize,
     idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl IdleConnections {
-    /// None yet, and at most `most_per_address` later.
-    pub fn new(most_per_address: usize) -> Self {
-        Self { most_per_address, idle: Mutex::default() }
+    /// Creates an empty pool that keeps at most `max_per_address` connections to each address.
+    pub fn new(max_per_address: usize) -> Self {
+        Self { max_per_address, idle: Mutex::default() }
     }
 
-    /// Takes a connection that is ready for an exchange.
+    /// Takes a connection that is ready for an exchange, and closes those that no longer are.
     pub fn take(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.lock();
         let connections = idle.get_mut(&address)?;
@@ -30,16 +30,17 @@
         None
     }
 
-    /// Keeps a connection whose exchange ended cleanly.
+    /// Returns a connection whose exchange ended cleanly to the pool, or closes it if the address
+    /// has its maximum.
     pub fn keep(&self, address: SocketAddr, connection: Connection) {
         let mut idle = self.lock();
         let connections = idle.entry(address).or_default();
-        if connections.len() < self.most_per_address {
+        if connections.len() < self.max_per_address {
             connections.push(connection);
         }
     }
 
-    /// Closes the connections to addresses that `in_use` does not hold.
+    /// Closes the idle connections to addresses for which `in_use` returns false.
     pub fn retain(&self, in_use: impl Fn(&SocketAddr) -> bool) {
         self.lock().retain(|address, _| in_use(address));
     }
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 over `smol` by `hyper`: a server that stops gracefully, a connection that knows whether
-//! it wrote anything, and a small pooled client for calls between processes.
+//! HTTP/1.1 on `hyper` and `smol`: a server with graceful shutdown, a connection that reports
+//! whether it wrote any bytes, and a small pooled client for calls between processes.
 
 mod body;
 mod client;
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -1,8 +1,8 @@
-//! A server whose stop is a phase of its own: it accepts nothing new, lets what runs end, and says
-//! when all has ended.
+//! An HTTP server with graceful shutdown: it stops accepting connections, completes the requests in
+//! progress, and returns when the last connection is closed.
 
 use crate::body::Body;
-use crate::handshakes::{HANDSHAKE_TIME, refuse_handshakes};
+use crate::handshakes::{HANDSHAKE_GRACE, refuse_handshakes};
 use crate::wait::within;
 use derive_more::{Display, Error};
 use hyper::body::Incoming;
@@ -23,21 +23,21 @@
 /// Settings of a [`Server`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerConfig {
-    /// Most connections open at a time; more are closed at once.
-    pub most_connections: usize,
+    /// Largest number of open connections; further ones are closed when accepted.
+    pub max_connections: usize,
     /// Largest head of a request, in bytes.
     pub head_limit: usize,
-    /// Time that the head of a request may take to arrive.
-    pub head_time: Duration,
+    /// Time within which the head of a request must arrive.
+    pub head_timeout: Duration,
 }
 
 impl Default for ServerConfig {
     fn default() -> Self {
-        Self { most_connections: 4_096, head_limit: 32 << 10, head_time: Duration::from_secs(10) }
+        Self { max_connections: 4_096, head_limit: 32 << 10, head_timeout: Duration::from_secs(10) }
     }
 }
 
-/// A listening address could not be opened.
+/// An error from binding a listening address.
 #[derive(Debug, Display, Error)]
 #[display("cannot listen on {address}: {source}")]
 pub struct BindError {
@@ -47,7 +47,7 @@
     pub source: std::io::Error,
 }
 
-/// Counts of a server since its start.
+/// Number of open connections, and of refused and malformed ones since the start.
 #[derive(Debug, Default)]
 struct Counts {
     open: AtomicUsize,
@@ -55,7 +55,7 @@
     malformed: AtomicU64,
 }
 
-/// A server that listens but does not accept yet.
+/// A server that listens; it accepts connections once it runs.
 #[derive(Debug)]
 pub struct Server {
     listener: TcpListener,
@@ -66,7 +66,7 @@
     counts: Arc<Counts>,
 }
 
-/// Stops a server and tells its counts.
+/// A handle that stops a server and reads its counts.
 #[derive(Debug, Clone)]
 pub struct Stopper {
     stop: Sender<Infallible>,
@@ -74,24 +74,25 @@
 }
 
 impl Stopper {
-    /// Accepts no new connection and closes each open one when its exchange has ended.
+    /// Starts the graceful shutdown: no new connections are accepted and each open one is closed
+    /// when its exchange has ended.
     pub fn stop(&self) {
         self.stop.close();
     }
 
-    /// Connections refused because too many were open.
+    /// Returns the number of connections refused because too many were open.
     pub fn refused_connections(&self) -> u64 {
         self.counts.refused.load(Ordering::Relaxed)
     }
 
-    /// Connections ended for malformed or oversized heads.
+    /// Returns the number of connections closed for malformed or oversized heads.
     pub fn malformed_requests(&self) -> u64 {
         self.counts.malformed.load(Ordering::Relaxed)
     }
 }
 
 impl Server {
-    /// Opens the listening address. Port 0 picks a free one.
+    /// Binds a listening address; port 0 picks a free port.
     pub async fn bind(address: SocketAddr, config: ServerConfig) -> Result<Self, BindError> {
         let failed = |source| BindError { address, source };
         let listener = TcpListener::bind(address).await.map_err(failed)?;
@@ -101,17 +102,17 @@
         Ok(Self { listener, address, config, stop_sender, stop, counts })
     }
 
-    /// The address that it listens on.
+    /// Returns the bound address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// A handle to stop it.
+    /// Returns a handle to stop the server.
     pub fn stopper(&self) -> Stopper {
         Stopper { stop: self.stop_sender.clone(), counts: self.counts.clone() }
     }
 
-    /// Serves until stopped, then until the last connection has ended.
+    /// Serves until stopped and the last connection is closed.
     pub async fn run<H, F>(self, handler: H)
     where
         H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + 'static,
@@ -119,19 +120,19 @@
     {
         let (open, all_ended) = smol::channel::bounded::<Infallible>(1);
         let stopped = async {
-            // The channel carries nothing; it only closes.
+            // The channel never carries a value; closing it is the signal.
             let _ = self.stop.recv().await;
         };
         let mut stopped = pin!(stopped);
-        self.admit_until(&mut stopped, &handler, &open).await;
-        self.admit_last(&handler, &open).await;
+        self.accept_until(&mut stopped, &handler, &open).await;
+        self.accept_remaining(&handler, &open).await;
         drop(open);
         drop(self.listener);
         let _ = all_ended.recv().await;
     }
 
-    /// Takes connections until `over` ends.
-    async fn admit_until<H, F>(
+    /// Accepts connections until `over` completes.
+    async fn accept_until<H, F>(
         &self,
         mut over: impl Future<Output = ()> + Unpin,
         handler: &H,
@@ -149,16 +150,15 @@
             match accepted.or(over).await {
                 None => return,
                 Some(Ok((stream, peer))) => self.admit(stream, peer, handler, open),
-                // Out of descriptors or an aborted connection: wait a little, go on.
-                Some(Err(_)) => drop(smol::Timer::after(ACCEPT_PAUSE).await),
+                // Out of file descriptors, or the client aborted the connection.
+                Some(Err(_)) => drop(smol::Timer::after(ACCEPT_BACKOFF).await),
             }
         }
     }
 
-    /// Takes the connections that the operating system has accepted for us, or is about to: closing the listener would
-    /// break them. Without an end of new handshakes first, 9 and 14 connections broke in 60 stops under six callers that
-    /// connect all the time.
-    async fn admit_last<H, F>(&self, handler: &H, open: &Sender<Infallible>)
+    /// Stops new handshakes and accepts the connections that are established or about to be, since
+    /// closing the listener would reset them.
+    async fn accept_remaining<H, F>(&self, handler: &H, open: &Sender<Infallible>)
     where
         H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + 'static,
         F: Future<Output = Response<Body>> + Send + 'static,
@@ -166,17 +166,17 @@
         match refuse_handshakes(&self.listener) {
             Ok(()) => {
                 let over = async {
-                    smol::Timer::after(HANDSHAKE_TIME).await;
+                    smol::Timer::after(HANDSHAKE_GRACE).await;
                 };
-                self.admit_until(pin!(over), handler, open).await;
+                self.accept_until(pin!(over), handler, open).await;
             }
-            // What comes between the last look and the close is broken then.
+            // Connections established between the last accept and the close are reset.
             Err(error) => tracing::warn!(event = "handshakes_not_refused", error = %error),
         }
-        self.admit_waiting(handler, open).await;
+        self.accept_queued(handler, open).await;
     }
 
-    async fn admit_waiting<H, F>(&self, handler: &H, open: &Sender<Infallible>)
+    async fn accept_queued<H, F>(&self, handler: &H, open: &Sender<Infallible>)
     where
         H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + 'static,
         F: Future<Output = Response<Body>> + Send + 'static,
@@ -196,7 +196,7 @@
         H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + 'static,
         F: Future<Output = Response<Body>> + Send + 'static,
     {
-        if self.counts.open.load(Ordering::SeqCst) >= self.config.most_connections {
+        if self.counts.open.load(Ordering::SeqCst) >= self.config.max_connections {
             self.counts.refused.fetch_add(1, Ordering::Relaxed);
             return;
         }
@@ -211,11 +211,11 @@
     }
 }
 
-/// Time that a connection without any request yet has for its first one when the server stops: its
-/// caller may be sending it just now.
+/// Time for the first request of a connection to arrive after the server was stopped: it may
+/// already be on its way.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(500);
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 struct OpenConnection {
     counts: Arc<Counts>,
@@ -228,29 +228,29 @@
     }
 }
 
-/// Whether a connection has brought a request.
+/// A signal that a connection has received its first request.
 #[derive(Debug, Clone)]
 struct FirstRequest {
-    noted: Sender<Infallible>,
-    note: Receiver<Infallible>,
+    sender: Sender<Infallible>,
+    receiver: Receiver<Infallible>,
 }
 
 impl Default for FirstRequest {
     fn default() -> Self {
-        let (noted, note) = smol::channel::bounded(1);
-        Self { noted, note }
+        let (sender, receiver) = smol::channel::bounded(1);
+        Self { sender, receiver }
     }
 }
 
 impl FirstRequest {
-    fn note(&self) {
-        self.noted.close();
+    fn mark_received(&self) {
+        self.sender.close();
     }
 
-    /// Waits until a request was brought, `limit` at most.
+    /// Waits for the first request, for at most `limit`.
     async fn wait(&self, limit: Duration) {
-        // The channel carries nothing; it only closes. Time running out is the other way to go on.
-        let _ = within(limit, self.note.recv()).await;
+        // Closing the channel is the signal; the caller proceeds after a timeout too.
+        let _ = within(limit, self.receiver.recv()).await;
     }
 }
 
@@ -265,13 +265,13 @@
     H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    // See `Connection::open`.
+    // Disables Nagle's algorithm; the stream works without it too.
     let _ = stream.set_nodelay(true);
     let first_request = FirstRequest::default();
     let service = service_fn({
         let first_request = first_request.clone();
         move |request| {
-            first_request.note();
+            first_request.mark_received();
             let answer = handler(request, peer);
             async move { Ok::<_, Infallible>(answer.await) }
         }
@@ -279,7 +279,7 @@
     let mut connection = pin!(
         http1::Builder::new()
             .timer(SmolTimer::new())
-            .header_read_timeout(config.head_time)
+            .header_read_timeout(config.head_timeout)
             .max_buf_size(config.head_limit)
             .serve_connection(FuturesIo::new(stream), service)
     );
--- a/crates/web/src/tests.rs
+++ b/crates/web/src/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of connections, streamed bodies and the graceful shutdown of the server.
+
 use crate::{
     Body, BodyError, Connection, IdleConnections, Server, ServerConfig, Stopper, full,
     read_limited, streamed, within,
@@ -20,7 +22,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A server whose answers `handler` gives.
+/// Starts a server that responds with `handler`.
 async fn serve(
     handler: impl Fn(Request<Incoming>) -> Response<Body> + Clone + Send + Sync + 'static,
 ) -> (SocketAddr, Stopper, smol::Task<()>) {
@@ -38,7 +40,7 @@
 }
 
 #[test]
-fn a_connection_knows_that_nothing_was_written_to_a_server_that_had_closed() {
+fn a_connection_reports_that_nothing_was_written_to_a_server_that_had_closed() {
     smol::block_on(async {
         let listener = TcpListener::bind(loopback()).await.expect("bound");
         let address = listener.local_addr().expect("an address");
@@ -56,7 +58,7 @@
 }
 
 #[test]
-fn a_connection_knows_that_bytes_were_written_before_it_broke() {
+fn a_connection_reports_that_bytes_were_written_before_it_broke() {
     smol::block_on(async {
         let listener = TcpListener::bind(loopback()).await.expect("bound");
         let address = listener.local_addr().expect("an address");
@@ -73,7 +75,7 @@
 }
 
 #[test]
-fn a_body_that_breaks_off_is_an_error_and_its_connection_is_not_used_again() {
+fn an_aborted_body_is_an_error_and_its_connection_is_not_reused() {
     smol::block_on(async {
         let (sender, chunks) = smol::channel::bounded(2);
         sender.try_send(Ok(Bytes::from("half"))).expect("room");
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn a_stopped_server_ends_what_runs_and_serves_a_request_that_was_on_its_way() {
+fn a_stopped_server_serves_a_request_on_its_way_and_ends() {
     smol::block_on(async {
         let (address, stopper, running) = serve(|_| Response::new(full("whole"))).await;
         let mut late = TcpStream::connect(address).await.expect("connected");
@@ -104,14 +106,15 @@
     });
 }
 
-/// Stops of a server in a row, each under callers that connect all the time.
+/// Number of servers that are started and stopped while callers connect.
 const STOPS: usize = 60;
-/// Callers at a time.
+/// Number of concurrent callers.
 const CALLERS: usize = 6;
-/// Time for a connection: one that a stopping server does not answer is not let in.
+/// Connect timeout; an attempt that a stopping server ignores does not count as established.
 const CONNECT_LIMIT: Duration = Duration::from_millis(100);
 
-/// Calls until told to end. Gives the connections that were let in and broke without an answer.
+/// Makes calls until `over` is set. Returns the number of established connections that were closed
+/// without an answer.
 fn call_until(address: SocketAddr, over: &AtomicBool, answered: &AtomicUsize) -> usize {
     let mut broken = 0;
     while !over.load(Ordering::SeqCst) {
@@ -129,18 +132,10 @@
     broken
 }
 
-// Symptom: of 4,456 requests of callers that go on calling while each process is stopped and started again, one broke after
-// its bytes were sent.
-//
-// Sequence: the server is told to stop, takes all connections that wait, and closes its listener. A connection that the
-// operating system completes between the last look and the close is reset, with a request on it.
-//
-// Cause: nothing kept new handshakes away while the last connections were taken.
-//
-// What settled it: with 30 ms between the look and the close 25 to 40 requests of 4,000 break in the same way, with the
-// same words.
+// Guards against resets of connections that are established between the last accept of a stopping
+// server and the close of its listener.
 #[test]
-fn a_stop_breaks_no_connection_that_was_let_in() {
+fn a_stop_resets_no_established_connection() {
     smol::block_on(async {
         let mut broken = 0;
         for _ in 0..STOPS {
--- a/crates/web/src/wait.rs
+++ b/crates/web/src/wait.rs
@@ -1,15 +1,15 @@
-//! A bound on how long a future may take.
+//! Timeouts of futures.
 
 use derive_more::{Display, Error};
 use smol::future::{Future, FutureExt};
 use std::time::Duration;
 
-/// The time allowed has passed.
+/// The future did not complete in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("timed out")]
 pub struct TimedOut;
 
-/// The future's output, or [`TimedOut`] after `limit`.
+/// Returns the output of the future, or [`TimedOut`] after `limit`.
 pub async fn within<F: Future>(limit: Duration, future: F) -> Result<F::Output, TimedOut> {
     let output = async { Ok(future.await) };
     let timer = async {
