--- a/crates/object-store/src/lib.rs
+++ b/crates/object-store/src/lib.rs
@@ -1,11 +1,14 @@
-//! A client of the platform's object API and machine list.
+//! Client of the platform's object API and machine list.
 //!
-//! Interface, as our stand-in serves it: `GET /objects/KEY` gives an object and its version in
-//! `etag`; with `?after=VERSION&wait-ms=N` it waits for a later version. `PUT /objects/KEY` with
-//! `if-match: "VERSION"` or `if-none-match: *` is a conditional update, answered with the new
-//! version or with 412. `GET /machines` gives the machine list. 429 means that the rate is used up.
+//! - `GET /objects/KEY` returns an object, with its version in `etag`. With
+//!   `?after=VERSION&wait-ms=N` it waits for a later version (long polling).
+//! - `PUT /objects/KEY` with `if-match: "VERSION"` or `if-none-match: *` is a conditional write
+//!   that returns the new version, or 412 if the precondition fails.
+//! - `GET /machines` returns the machine list.
+//! - 429 is returned while the rate limit is exceeded.
 //!
-//! Its errors keep apart what certainly did not take effect from what may have.
+//! Errors of writes distinguish those that certainly had no effect from those that may have had
+//! one.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -17,16 +20,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An object and its version.
+/// A stored object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// Rises with every write of this object.
+    /// Version of the object, which increases with every write.
     pub version: u64,
-    /// The object's value.
+    /// Content of the object.
     pub value: Bytes,
 }
 
-/// What must hold for a write to take effect.
+/// Precondition of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precondition {
     /// The object has this version.
@@ -35,7 +38,7 @@
     Absent,
 }
 
-/// A read that gave no result.
+/// An error from reading an object or the machine list.
 #[derive(Debug, Display, Error)]
 pub enum ReadError {
     /// The platform could not be reached or did not answer in time.
@@ -44,67 +47,68 @@
     /// The platform answered with an error status.
     #[display("the platform answered {status}")]
     Refused {
-        /// The status.
+        /// Status of the answer.
         status: StatusCode,
     },
-    /// The platform's answer is not understood.
+    /// The platform's answer cannot be parsed.
     #[display("the platform's answer is not understood")]
     Malformed,
 }
 
-/// A conditional write that gave no version.
+/// An error from a conditional write.
 #[derive(Debug, Display, Error)]
 pub enum WriteError {
     /// The precondition does not hold; nothing was written.
     #[display("the object was changed by another")]
     Conflict,
-    /// Certainly not written.
+    /// The write certainly did not take effect.
     #[display("the platform did not take the write: {_0}")]
     NotWritten(#[error(not(source))] NotWritten),
-    /// Written or not: no answer came.
+    /// No answer arrived; the write may have taken effect.
     #[display("the platform did not answer; the write may have taken effect: {_0}")]
     Unknown(CallError),
-    /// Written or not: the platform failed on its side.
+    /// The platform failed or returned no version; the write may have taken effect.
     #[display("the platform answered {status}; the write may have taken effect")]
     Ambiguous {
-        /// The status.
+        /// Status of the answer.
         status: StatusCode,
     },
 }
 
-/// Why a write certainly did not take effect.
+/// The reason why a write certainly did not take effect.
 #[derive(Debug, Display)]
 pub enum NotWritten {
-    /// No connection.
+    /// The platform could not be reached, or the connection failed before anything was sent.
     #[display("{_0}")]
     Unreachable(CallError),
-    /// An error status.
+    /// The platform rejected the write with this client error status.
     #[display("answered {_0}")]
     Refused(StatusCode),
 }
 
-/// A client of the platform.
+/// Client of the platform.
 #[derive(Debug)]
 pub struct Platform {
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
     client: Client,
 }
 
 impl Platform {
-    /// A client of the platform at `address` that waits `limit` for each answer.
-    pub fn new(address: SocketAddr, limit: Duration) -> Self {
-        let config = ClientConfig { connect_limit: limit, ..ClientConfig::default() };
-        Self { address, limit, client: Client::new(config) }
+    /// Creates a client of the platform at `address`, with a timeout for opening a connection and
+    /// for each answer.
+    pub fn new(address: SocketAddr, timeout: Duration) -> Self {
+        let config = ClientConfig { connect_limit: timeout, ..ClientConfig::default() };
+        Self { address, timeout, client: Client::new(config) }
     }
 
-    /// Reads an object.
+    /// Reads an object. Returns `None` if it does not exist.
     pub async fn read(&self, key: &str) -> Result<Option<Object>, ReadError> {
-        self.get(&format!("/objects/{key}"), self.limit).await
+        self.get(&format!("/objects/{key}"), self.timeout).await
     }
 
-    /// Waits up to `wait` for a version of an object later than `after` (zero: for any). `None` if
-    /// none came.
+    /// Waits up to `wait` for a version of an object later than `after`; zero accepts any version.
+    /// Returns `None` if there is none by then.
     pub async fn watch(
         &self,
         key: &str,
@@ -112,11 +116,11 @@
         wait: Duration,
     ) -> Result<Option<Object>, ReadError> {
         let path = format!("/objects/{key}?after={after}&wait-ms={}", wait.as_millis());
-        let found = self.get(&path, wait + self.limit).await?;
+        let found = self.get(&path, wait + self.timeout).await?;
         Ok(found.filter(|object| object.version > after))
     }
 
-    /// Writes an object if `precondition` holds. Returns its new version.
+    /// Writes an object if `precondition` holds, and returns its new version.
     pub async fn write(
         &self,
         key: &str,
@@ -128,7 +132,7 @@
             Precondition::Version(version) => builder.header(IF_MATCH, format!("\"{version}\"")),
             Precondition::Absent => builder.header(IF_NONE_MATCH, "*"),
         };
-        match self.client.call(self.address, request(builder, value), self.limit).await {
+        match self.client.call(self.address, request(builder, value), self.timeout).await {
             Ok(reply) => written_version(&reply),
             Err(error @ CallError::Connect(_)) => {
                 Err(WriteError::NotWritten(NotWritten::Unreachable(error)))
@@ -146,7 +150,7 @@
         let builder = Request::builder().uri("/machines");
         let reply = self
             .client
-            .call(self.address, request(builder, Bytes::new()), self.limit)
+            .call(self.address, request(builder, Bytes::new()), self.timeout)
             .await
             .map_err(ReadError::NoAnswer)?;
         match reply.status {
@@ -155,11 +159,11 @@
         }
     }
 
-    async fn get(&self, path: &str, limit: Duration) -> Result<Option<Object>, ReadError> {
+    async fn get(&self, path: &str, timeout: Duration) -> Result<Option<Object>, ReadError> {
         let builder = Request::builder().uri(path);
         let reply = self
             .client
-            .call(self.address, request(builder, Bytes::new()), limit)
+            .call(self.address, request(builder, Bytes::new()), timeout)
             .await
             .map_err(ReadError::NoAnswer)?;
         match reply.status {
@@ -174,7 +178,7 @@
 }
 
 fn request(builder: hyper::http::request::Builder, body: Bytes) -> Request<Full<Bytes>> {
-    // Keys are our own and hold only characters that a path may.
+    // Cannot fail: callers build keys only from characters that are valid in a path.
     builder.body(Full::new(body)).unwrap_or_default()
 }
 
