--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,5 @@
-//! What every process of the fleet does: it is a member, holds the configuration in force, talks to
-//! its peers and serves its admin address. The duty of the process (gateway or scheduler) plugs in
-//! through [`Duty`].
+//! Functions common to all processes of the fleet: membership, configuration, messages between
+//! peers, settings and startup. Gateways and schedulers add their own behaviour through [`Duty`].
 
 mod clock;
 mod metrics;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics that every process has.
+//! Metrics common to all processes.
 
 use mastbay_peer::ReceiveError;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -7,10 +7,10 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Label of refused posts.
+/// Label of the counter of refused posts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PeerRefusal {
-    /// The stable code of a [`ReceiveError`].
+    /// Code of the [`ReceiveError`].
     pub reason: &'static str,
 }
 
@@ -29,7 +29,7 @@
     pub bytes_sent: Counter,
     /// Peer posts sent.
     pub posts_sent: Counter,
-    /// Messages to peers that were dropped.
+    /// Messages to peers dropped because too many were queued or their post failed.
     pub messages_dropped: Counter,
     /// Peer posts refused.
     pub posts_refused: Family<PeerRefusal, Counter>,
@@ -38,7 +38,7 @@
 }
 
 impl NodeMetrics {
-    /// Metrics registered under the prefix `mastbay`.
+    /// Creates the metrics and registers them under the prefix `mastbay`.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         let registry = registry.sub_registry_with_prefix("mastbay");
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The process as a member of the fleet.
+//! Event loop and message handling of a member of the fleet.
 
 use crate::clock::Clock;
 use crate::metrics::NodeMetrics;
@@ -25,16 +25,16 @@
 
 /// Largest peer post accepted, in bytes.
 const POST_LIMIT: usize = 16 << 20;
-/// Longest sleep between two looks at the timers.
-const LONGEST_SLEEP: Duration = Duration::from_millis(500);
+/// Longest sleep of the event loop.
+const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// What a process does besides being a member.
+/// Behaviour specific to gateways or schedulers.
 pub trait Duty: Send + Sync + 'static {
-    /// Takes a message that is not about membership or configuration.
+    /// Handles a message that concerns neither membership nor configuration.
     fn handle(&self, from: &ProcessId, message: Message);
-    /// The live members changed.
+    /// Called after the membership table changed.
     fn members_changed(&self);
-    /// A configuration came into force.
+    /// Called after a configuration came into force.
     fn configuration_changed(&self, configuration: &Arc<FleetConfiguration>);
 }
 
@@ -62,16 +62,16 @@
     wake: Wake,
 }
 
-/// A generator seeded by the operating system.
+/// Creates a random number generator seeded by the operating system.
 fn seeded_generator() -> ChaCha12Rng {
     let mut seed = [0_u8; 32];
-    // Without a source of randomness nothing here would be safe to do.
+    // There is no safe fallback without a source of randomness.
     SysRng.try_fill_bytes(&mut seed).expect("the operating system gives randomness");
     ChaCha12Rng::from_seed(seed)
 }
 
 impl Node {
-    /// A member with the given settings. Nothing is sent before [`Node::run`].
+    /// Creates a member with the given settings. Nothing is sent before [`Node::run`].
     pub fn new(settings: &NodeSettings, role: Role, metrics: NodeMetrics) -> Arc<Self> {
         let clock = Clock::default();
         let me = ProcessId::from(&*settings.peer_address.to_string());
@@ -105,53 +105,53 @@
         })
     }
 
-    /// This process.
+    /// Returns the id of this process.
     pub fn me(&self) -> &ProcessId {
         &self.me
     }
 
-    /// This life of the process.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The zone that the process stands in.
+    /// Returns the zone of this process.
     pub fn zone(&self) -> &str {
         &self.zone
     }
 
-    /// Monotonic time.
+    /// Returns the monotonic time since the node was created.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The platform's client.
+    /// Returns the client of the platform.
     pub fn platform(&self) -> &Platform {
         &self.platform
     }
 
-    /// The node's metrics.
+    /// Returns the metrics of the node.
     pub fn metrics(&self) -> &NodeMetrics {
         &self.metrics
     }
 
-    /// Sends a message to a peer; it may be lost.
+    /// Queues a message to a peer. Delivery is not guaranteed.
     pub fn send(&self, to: &ProcessId, message: Message) {
         self.outbox.send(to, message);
     }
 
-    /// A generator of its own for a task.
+    /// Creates an independent random number generator, seeded from the node's.
     pub fn random(&self) -> ChaCha12Rng {
         let mut state = self.lock();
         ChaCha12Rng::from_rng(&mut state.random)
     }
 
-    /// Live processes of a role, this one included if it has that role.
+    /// Returns the live processes of a role, including this one if it has that role.
     pub fn live(&self, role: Role) -> Vec<ProcessId> {
         self.lock().membership.live(role)
     }
 
-    /// Live processes of this one's zone and role, itself included.
+    /// Returns the live processes of this process's zone and role, sorted, including itself.
     pub(crate) fn live_in_zone(&self) -> Vec<ProcessId> {
         let state = self.lock();
         let membership = &state.membership;
@@ -166,17 +166,17 @@
         live
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force, or `None` before the first one is installed.
     pub fn configuration(&self) -> Option<Arc<FleetConfiguration>> {
         self.lock().spread.configuration()
     }
 
-    /// The generation in force.
+    /// Returns the generation of the configuration in force.
     pub fn generation(&self) -> Generation {
         self.lock().spread.generation()
     }
 
-    /// Whether the process may take work.
+    /// Returns `Ok` if the process is ready for work, otherwise the reason why not.
     pub fn ready(&self) -> Result<(), NotReady> {
         if self.stopping.load(Ordering::SeqCst) {
             return Err(NotReady::Stopping);
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Tells the peers that this process stops.
+    /// Announces to the peers that this process leaves, and marks it as not ready.
     pub fn leave(&self) {
         self.stopping.store(true, Ordering::SeqCst);
         let mut state = self.lock();
@@ -200,7 +200,7 @@
         tracing::info!(event = "leaving", process = %self.me);
     }
 
-    /// Membership and configuration, for operators.
+    /// Returns the state of membership and configuration for the admin endpoint.
     pub fn status(&self) -> Value {
         let state = self.lock();
         let members: Vec<Value> = state
@@ -226,23 +226,23 @@
         })
     }
 
-    /// Runs membership and configuration for ever.
+    /// Runs the event loop of membership and configuration. Never returns.
     pub async fn run(self: Arc<Self>, duty: Arc<dyn Duty>) {
         loop {
             let now = self.now();
-            let (transmits, actions, next) = self.pass_time(now);
+            let (transmits, actions, next) = self.handle_timeouts(now);
             self.transmit(transmits);
             self.act(&duty, actions);
-            self.notice_members(&duty);
+            self.publish_membership_changes(&duty);
             self.publish_counts();
-            // `act` wakes the loop for its callers' sake; that wake-up is used up here.
+            // Discards the wake-up that `act` caused in this iteration.
             self.wake.clear();
-            let sleep = next.since(self.now()).min(LONGEST_SLEEP);
+            let sleep = next.since(self.now()).min(MAX_SLEEP);
             self.wake.sleep(sleep).await;
         }
     }
 
-    fn pass_time(&self, now: Timestamp) -> (Vec<Transmit>, Vec<Action>, Timestamp) {
+    fn handle_timeouts(&self, now: Timestamp) -> (Vec<Transmit>, Vec<Action>, Timestamp) {
         let mut state = self.lock();
         let State { membership, spread, random, .. } = &mut *state;
         let mut transmits = Vec::new();
@@ -255,7 +255,7 @@
         (transmits, actions, next)
     }
 
-    fn notice_members(&self, duty: &Arc<dyn Duty>) {
+    fn publish_membership_changes(&self, duty: &Arc<dyn Duty>) {
         let mut state = self.lock();
         if state.seen_revision == state.membership.revision() {
             return;
@@ -312,7 +312,7 @@
         match received {
             Ok(envelope) => {
                 self.metrics.posts_received.inc();
-                self.take(envelope, duty);
+                self.handle_envelope(envelope, duty);
                 response(StatusCode::NO_CONTENT, empty())
             }
             Err(error) => {
@@ -324,7 +324,7 @@
         }
     }
 
-    fn take(self: &Arc<Self>, envelope: Envelope, duty: &Arc<dyn Duty>) {
+    fn handle_envelope(self: &Arc<Self>, envelope: Envelope, duty: &Arc<dyn Duty>) {
         let Envelope { from, generation, messages, .. } = envelope;
         let now = self.now();
         let heard = self.lock().spread.hear(now, &from, generation);
@@ -334,15 +334,15 @@
                 Message::Membership(packet) => {
                     let transmits = self.lock().membership.handle(now, &from, packet);
                     self.transmit(transmits);
-                    self.notice_members(duty);
+                    self.publish_membership_changes(duty);
                 }
-                Message::Spread(message) => self.take_spread(&from, message, duty),
+                Message::Spread(message) => self.handle_spread(&from, message, duty),
                 other => duty.handle(&from, other),
             }
         }
     }
 
-    fn take_spread(
+    fn handle_spread(
         self: &Arc<Self>,
         from: &ProcessId,
         message: SpreadMessage,
@@ -362,7 +362,7 @@
         change(spread, &mut |choices| random.random_range(0..choices))
     }
 
-    /// Carries out what the configuration's state machine asks for.
+    /// Executes the actions requested by the state machine of the configuration.
     pub(crate) fn act(self: &Arc<Self>, duty: &Arc<dyn Duty>, actions: Vec<Action>) {
         if actions.is_empty() {
             return;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,34 +1,34 @@
-//! Settings that gateways and schedulers share.
+//! Settings common to gateways and schedulers.
 
 use mastbay_settings::{Document, Faults, Name, Span};
 use mastbay_types::ProcessId;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Settings of every process.
+/// Settings common to all processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// `[process] zone`: the zone that the process stands in.
+    /// `[process] zone`: the zone of the process.
     pub zone: String,
     /// `[process] log`: log filter, such as `info`.
     pub log: String,
-    /// `[process] otlp`: collector that spans are sent to by OTLP over HTTP, if any.
+    /// `[process] otlp`: collector to which spans are exported by OTLP over HTTP, if any.
     pub otlp: Option<SocketAddr>,
-    /// `[process] stop-limit`: time that a planned stop may take.
+    /// `[process] stop-limit`: time limit of a graceful shutdown.
     pub stop_limit: Duration,
-    /// `[peer] address`: where peers reach the process; also its name.
+    /// `[peer] address`: address at which peers reach the process; also its id.
     pub peer_address: SocketAddr,
-    /// `[peer] listen`: where the process listens for peers, if that is another address.
+    /// `[peer] listen`: listening address for peers; defaults to `address`.
     pub peer_listen: SocketAddr,
-    /// `[peer] secret`: shared by all processes of the fleet.
+    /// `[peer] secret`: secret shared by all processes of the fleet.
     pub peer_secret: String,
-    /// `[peer] seeds`: peers asked for members at the start.
+    /// `[peer] seeds`: peers contacted to join the fleet.
     pub seeds: Vec<ProcessId>,
-    /// `[platform] address`: the platform's object API.
+    /// `[platform] address`: address of the platform's object API.
     pub platform_address: SocketAddr,
-    /// `[platform] answer-limit`: time that the platform has for each answer.
+    /// `[platform] answer-limit`: timeout of requests to the platform.
     pub platform_limit: Duration,
-    /// `[admin] address`: health, metrics and status.
+    /// `[admin] address`: listening address for health, metrics and status.
     pub admin_address: SocketAddr,
 }
 
@@ -38,8 +38,8 @@
 const DEFAULT_STOP_LIMIT: Duration = Duration::from_secs(600);
 const DEFAULT_PLATFORM_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// Reads the shared sections of a settings file. `None` if something required is missing or wrong;
-/// `faults` says what.
+/// Reads the common sections of a settings file. Faults are added to `faults`; returns `None` if a
+/// required value is missing or invalid.
 pub fn read_node_settings(document: &Document, faults: &mut Faults) -> Option<NodeSettings> {
     let mut process = document.section("process", faults);
     let zone: Option<Name> = process.required("zone");
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask a process to stop.
+//! Handling of termination signals.
 
 use async_signal::{Signal, Signals};
 use smol::stream::StreamExt;
@@ -6,7 +6,7 @@
 /// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the operating system does not let the process watch its signals.
+/// Returns an error if the signal handlers cannot be installed.
 pub async fn wait_for_stop() -> std::io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     match signals.next().await {
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -1,4 +1,5 @@
-//! Starting a process: settings are checked whole before anything else happens.
+//! Loading of settings at startup, and exit codes. All settings are validated before the process
+//! does anything else.
 
 use crate::settings::{NODE_SECTIONS, NodeSettings, read_node_settings};
 use derive_more::{Display, Error};
@@ -8,43 +9,43 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Why a process did not start or did not end well.
+/// An error that prevents a process from starting or running.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
     /// The settings file cannot be read.
     #[display("{_0}")]
     Settings(LoadError),
-    /// The settings have faults.
+    /// The settings file has missing or invalid values.
     #[display("{_0}")]
     Faults(Faults),
     /// Logging could not be started.
     #[display("{_0}")]
     Logging(LoggingError),
-    /// An address could not be opened.
+    /// A listening address could not be bound.
     #[display("{_0}")]
     Bind(BindError),
-    /// Signals cannot be watched.
+    /// The signal handlers cannot be installed.
     #[display("signals cannot be watched: {_0}")]
     Signals(std::io::Error),
 }
 
-/// How a process ended.
+/// The outcome of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
-    /// A planned stop: all that ran has ended.
+    /// All work was completed.
     Stopped,
-    /// The time for a planned stop ran out with work still running.
+    /// The time limit expired with work still in progress.
     StopLimit,
 }
 
-/// Exit code for settings that are missing or wrong.
+/// Exit code for missing or invalid settings.
 const EXIT_SETTINGS: u8 = 2;
-/// Exit code for everything else that keeps a process from starting.
+/// Exit code for all other errors.
 const EXIT_START: u8 = 1;
-/// Exit code for a stop that cut work.
+/// Exit code for a shutdown that aborted work in progress.
 const EXIT_STOP_LIMIT: u8 = 3;
 
-/// Reads a settings file: the shared sections and, by `read_own`, those of the process itself.
+/// Reads a settings file: the common sections, and with `read_own` those specific to the process.
 pub fn load_settings<T>(
     path: &Path,
     own_sections: &[&str],
@@ -59,7 +60,7 @@
     faults.into_result(node.zip(own)).map_err(StartError::Faults)
 }
 
-/// Tells the user what kept a process from starting and gives its exit code.
+/// Prints the error, if any, to standard error and returns the exit code of the process.
 pub fn report_and_exit_code(result: Result<ExitReason, StartError>) -> ExitCode {
     match result {
         Ok(ExitReason::Stopped) => ExitCode::SUCCESS,
--- a/crates/node/src/tests.rs
+++ b/crates/node/src/tests.rs
@@ -1,8 +1,10 @@
+//! Tests of the settings file.
+
 use crate::{StartError, load_settings};
 use std::io::Write;
 use std::path::PathBuf;
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn settings_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("mastbay-{}-{name}.ini", std::process::id()));
     let mut file = std::fs::File::create(&path).expect("a temporary file");
     file.write_all(text.as_bytes()).expect("written");
@@ -10,8 +12,8 @@
 }
 
 #[test]
-fn all_faults_of_a_settings_file_are_told_at_once() {
-    let path = file(
+fn all_faults_of_a_settings_file_are_reported_at_once() {
+    let path = settings_file(
         "faults",
         "[process]\nzone = bad zone\ncolour = blue\n[peer]\naddress = here\n[colours]\n",
     );
--- a/crates/node/src/wake.rs
+++ b/crates/node/src/wake.rs
@@ -1,10 +1,10 @@
-//! What lets a loop over timers be woken before its time.
+//! Early wake-up of an event loop that sleeps until its next timer.
 
 use mastbay_web::within;
 use smol::channel::{Receiver, Sender};
 use std::time::Duration;
 
-/// A wake-up that is kept until it is used; several are as good as one.
+/// A notification that is stored until it is consumed; several are merged into one.
 #[derive(Debug)]
 pub struct Wake {
     sender: Sender<()>,
@@ -25,14 +25,14 @@
         let _ = self.sender.try_send(());
     }
 
-    /// Uses up a wake-up that the loop itself has caused.
+    /// Discards a stored wake-up.
     pub fn clear(&self) {
         let _ = self.receiver.try_recv();
     }
 
-    /// Sleeps until woken, `limit` at most.
+    /// Sleeps until woken, for at most `limit`. Returns at once if a wake-up is stored.
     pub async fn sleep(&self, limit: Duration) {
-        // Woken early or not: either way there is something to look at.
+        // The loop checks its timers whether it was woken or the time expired.
         let _ = within(limit, self.receiver.recv()).await;
     }
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the platform.
+//! Reads the configuration from the platform.
 
 use crate::node::{Duty, Node};
 use mastbay_configuration::{Part, PartHash, Root};
@@ -8,70 +8,72 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Key of the root object.
+/// Object key of the configuration root.
 pub const ROOT_KEY: &str = "configuration/root";
 
-/// Key of a part.
+/// Returns the object key of a configuration part.
 pub fn part_key(hash: &PartHash) -> String {
     format!("configuration/parts/{hash}")
 }
 
-/// Schedulers of a zone that watch the root; the others hear of changes from peers.
+/// Number of processes of a zone and role that watch the root; the others receive changes from
+/// peers.
 const WATCHERS_PER_ZONE: usize = 2;
-/// How long one watch waits.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// Shortest and longest pause after the platform failed, in milliseconds.
-const PAUSE_MILLIS: (u64, u64) = (200, 2_000);
-/// How often a process that does not watch looks whether it should.
-const TURN_CHECK: Duration = Duration::from_secs(1);
+/// Long-poll duration of one watch request.
+const WATCH_DURATION: Duration = Duration::from_secs(10);
+/// Initial and maximum backoff after a failed request to the platform, in milliseconds.
+const BACKOFF_MILLIS: (u64, u64) = (200, 2_000);
+/// Interval at which a process that is not a watcher checks whether it has become one.
+const WATCHER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Node {
-    /// Reads the root until the platform has answered once, or peers made the process ready.
+    /// Reads the root, with retries, until the platform has answered once or the process is ready
+    /// with a configuration from its peers.
     pub async fn read_root_at_start(self: Arc<Self>, duty: Arc<dyn Duty>) {
-        let mut pause = PAUSE_MILLIS.0;
+        let mut backoff = BACKOFF_MILLIS.0;
         loop {
             match self.platform().read(ROOT_KEY).await {
-                Ok(object) => return self.take_root(&duty, object),
+                Ok(object) => return self.handle_root(&duty, object),
                 Err(error) => self.note_failure(&error),
             }
             if self.ready().is_ok() {
                 return;
             }
-            pause = self.pause(pause).await;
+            backoff = self.back_off(backoff).await;
         }
     }
 
-    /// Watches the root for ever, while this process is among its zone's watchers.
+    /// Watches the root whenever this process is one of its zone's watchers. Never returns.
     pub async fn watch_root(self: Arc<Self>, duty: Arc<dyn Duty>) {
         let mut version = 0;
-        let mut pause = PAUSE_MILLIS.0;
+        let mut backoff = BACKOFF_MILLIS.0;
         loop {
             if !self.is_watcher() {
-                smol::Timer::after(TURN_CHECK).await;
+                smol::Timer::after(WATCHER_CHECK_INTERVAL).await;
                 continue;
             }
-            match self.platform().watch(ROOT_KEY, version, WATCH_WAIT).await {
+            match self.platform().watch(ROOT_KEY, version, WATCH_DURATION).await {
                 Ok(object) => {
-                    pause = PAUSE_MILLIS.0;
+                    backoff = BACKOFF_MILLIS.0;
                     version = object.as_ref().map_or(version, |object| object.version);
-                    self.take_root(&duty, object);
+                    self.handle_root(&duty, object);
                 }
                 Err(error) => {
                     self.note_failure(&error);
-                    pause = self.pause(pause).await;
+                    backoff = self.back_off(backoff).await;
                 }
             }
         }
     }
 
-    /// Whether this process is among the few of its zone that watch the platform for the others.
+    /// Returns whether this process is one of those of its zone and role that watch the platform.
     pub fn is_watcher(&self) -> bool {
         let live = self.live_in_zone();
         let key = format!("watch/{}", self.zone());
         by_rendezvous(&key, &live).into_iter().take(WATCHERS_PER_ZONE).any(|one| one == self.me())
     }
 
-    fn take_root(self: &Arc<Self>, duty: &Arc<dyn Duty>, object: Option<Object>) {
+    fn handle_root(self: &Arc<Self>, duty: &Arc<dyn Duty>, object: Option<Object>) {
         let root = match object.map(|object| serde_json::from_slice::<Root>(&object.value)) {
             None => None,
             Some(Ok(root)) => Some(root),
@@ -92,15 +94,16 @@
         tracing::warn!(event = "platform_read_failed", %error);
     }
 
-    /// Sleeps about `millis` and returns the next, longer pause.
-    async fn pause(&self, millis: u64) -> u64 {
+    /// Sleeps for a random time of up to `millis`, at least half of it, and returns the next
+    /// backoff.
+    async fn back_off(&self, millis: u64) -> u64 {
         let jittered = self.random().random_range(millis / 2..=millis);
         smol::Timer::after(Duration::from_millis(jittered)).await;
-        (millis * 2).min(PAUSE_MILLIS.1)
+        (millis * 2).min(BACKOFF_MILLIS.1)
     }
 }
 
-/// Reads parts from the platform. Parts that cannot be read are asked for elsewhere in time.
+/// Reads parts from the platform. Parts that cannot be read are requested elsewhere later.
 pub(crate) async fn read_parts(node: Arc<Node>, duty: Arc<dyn Duty>, parts: Vec<PartHash>) {
     let mut found = Vec::new();
     for hash in parts {
