--- a/crates/simulation/src/bin/mastbay-fault-matrix.rs
+++ b/crates/simulation/src/bin/mastbay-fault-matrix.rs
@@ -1,7 +1,7 @@
-//! `mastbay-fault-matrix`: prints the matrix of troubles and steps for docs/FAULTS.md.
+//! `mastbay-fault-matrix`: prints the matrix of faults and steps for docs/FAULTS.md.
 
 use argh::FromArgs;
-use mastbay_simulation::safety::{Mutation, PROMISES, cells_that_find, markdown, run_matrix};
+use mastbay_simulation::safety::{Mutation, PROMISES, detecting_cells, markdown, run_matrix};
 
 /// Tries every trouble at every step of a request in seeded virtual time and prints the matrix, and
 /// in how many cells each deliberate mutation of the code is found.
@@ -20,7 +20,7 @@
     }
     println!("### Mutations\n\n| mutation | cells that find it |\n|---|---|");
     for mutation in Mutation::ALL {
-        let found = cells_that_find(mutation, arguments.seeds);
+        let found = detecting_cells(mutation, arguments.seeds);
         println!("| {mutation} | {found} |");
     }
 }
--- a/crates/simulation/src/safety/matrix.rs
+++ b/crates/simulation/src/safety/matrix.rs
@@ -1,72 +1,72 @@
-//! The matrix of troubles and steps.
+//! Runs the matrix of faults and steps.
 
 use super::model::{Violation, run_once};
-use super::plan::{Mutation, Plan, PlannedFault, Promise, Step, Trouble};
+use super::plan::{FaultKind, Mutation, Plan, PlannedFault, Promise, Step};
 use derive_more::Display;
 use std::fmt::Write;
 
 /// One cell of the matrix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cell {
-    /// The step at which the trouble begins.
+    /// Step at which the fault is injected.
     pub step: Step,
-    /// Tries in which the step was reached.
+    /// Number of runs that reached the step.
     pub reached: u32,
-    /// The first promise broken, if any was.
-    pub violation: Option<Found>,
+    /// First violation found, if any.
+    pub violation: Option<FoundViolation>,
 }
 
-/// A broken promise and the seed that shows it.
+/// A violation and the seed that reproduces it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display("seed {seed}: {violation}")]
-pub struct Found {
-    /// The seed.
+pub struct FoundViolation {
+    /// Seed of the run.
     pub seed: u64,
-    /// The promise.
+    /// The violated invariant.
     pub violation: Violation,
 }
 
 /// One row of the matrix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// What was declared for the request.
+    /// Declared retry and claim behaviour of the request.
     pub promise: Promise,
-    /// The trouble.
-    pub trouble: Trouble,
-    /// Its steps.
+    /// Fault that is injected.
+    pub fault_kind: FaultKind,
+    /// One cell for each step, in order.
     pub cells: Vec<Cell>,
 }
 
-/// Tries every trouble at every step for a promise, alone (`second` is `None`) or together with a
-/// second trouble.
+/// Runs every fault at every step for a promise, alone (`second` is `None`) or together with a
+/// second fault. Each cell runs with the seeds from 0 to `seeds` - 1.
 pub fn run_matrix(
     promise: Promise,
     second: Option<PlannedFault>,
     mutation: Option<Mutation>,
     seeds: u64,
 ) -> Vec<Row> {
-    let row = |trouble: Trouble| {
+    let row = |fault_kind: FaultKind| {
         let cell = |step: Step| {
-            let first = PlannedFault { step, trouble };
+            let first = PlannedFault { step, fault_kind };
             let faults: Vec<PlannedFault> = std::iter::once(first).chain(second).collect();
-            try_cell(promise, step, &faults, mutation, seeds)
+            run_cell(promise, step, &faults, mutation, seeds)
         };
-        Row { promise, trouble, cells: Step::ALL.into_iter().map(cell).collect() }
+        Row { promise, fault_kind, cells: Step::ALL.into_iter().map(cell).collect() }
     };
-    Trouble::ALL.into_iter().map(row).collect()
+    FaultKind::ALL.into_iter().map(row).collect()
 }
 
-/// The promises that are tried.
+/// Promises that the matrix covers.
 pub const PROMISES: [Promise; 4] =
     [Promise::ClaimRequired, Promise::ClaimWhenAvailable, Promise::NoKey, Promise::Repeatable];
 
-/// A back end that stands still while the request runs, so that its caller asks again: without a
-/// second request some mutations do no harm.
+/// Freezes the back end while the request runs, which makes the caller retry: some mutations
+/// violate an invariant only when there is a second request.
 const FROZEN_BACKEND: PlannedFault =
-    PlannedFault { step: Step::Running, trouble: Trouble::BackendFrozen };
+    PlannedFault { step: Step::Running, fault_kind: FaultKind::BackendFrozen };
 
-/// Cells in which a mutation of the code is found, alone and with a back end that stands still.
-pub fn cells_that_find(mutation: Mutation, seeds: u64) -> usize {
+/// Counts the cells that detect a mutation of the code, alone and with a frozen back end.
+pub fn detecting_cells(mutation: Mutation, seeds: u64) -> usize {
     let of_promise = |promise| {
         let alone = run_matrix(promise, None, Some(mutation), seeds);
         alone.into_iter().chain(run_matrix(promise, Some(FROZEN_BACKEND), Some(mutation), seeds))
@@ -79,14 +79,14 @@
         .count()
 }
 
-/// Whether any cell finds a mutation of the code.
-pub fn is_found(mutation: Mutation, seeds: u64) -> bool {
+/// Returns whether any cell detects a mutation of the code.
+pub fn is_detected(mutation: Mutation, seeds: u64) -> bool {
     let mutation = Some(mutation);
     let mut plans = (0..seeds).flat_map(|seed| {
         PROMISES.into_iter().flat_map(move |promise| {
-            Trouble::ALL.into_iter().flat_map(move |trouble| {
+            FaultKind::ALL.into_iter().flat_map(move |fault_kind| {
                 Step::ALL.into_iter().flat_map(move |step| {
-                    let first = PlannedFault { step, trouble };
+                    let first = PlannedFault { step, fault_kind };
                     [vec![first], vec![first, FROZEN_BACKEND]].map(|faults| Plan {
                         promise,
                         faults,
@@ -100,7 +100,7 @@
     plans.any(|plan| !run_once(&plan).violations.is_empty())
 }
 
-fn try_cell(
+fn run_cell(
     promise: Promise,
     step: Step,
     faults: &[PlannedFault],
@@ -110,17 +110,17 @@
     let mut cell = Cell { step, reached: 0, violation: None };
     for seed in 0..seeds {
         let plan = Plan { promise, faults: faults.to_vec(), mutation, seed };
-        let verdict = run_once(&plan);
-        cell.reached += u32::from(verdict.reached);
-        if let Some(violation) = verdict.violations.first() {
-            cell.violation.get_or_insert(Found { seed, violation: *violation });
+        let result = run_once(&plan);
+        cell.reached += u32::from(result.reached);
+        if let Some(violation) = result.violations.first() {
+            cell.violation.get_or_insert(FoundViolation { seed, violation: *violation });
         }
     }
     cell
 }
 
-/// The matrix as a table in Markdown: the number of tries in which the step was reached, `-` where it
-/// never was, and **X** where a promise was broken.
+/// Formats the matrix as a Markdown table: the number of runs that reached the step, `-` if none
+/// did, and **X** where a violation was found.
 pub fn markdown(rows: &[Row]) -> String {
     let mut text = String::from("| trouble |");
     for step in Step::ALL {
@@ -130,7 +130,7 @@
     text.push_str("\n|---|");
     text.push_str(&"---|".repeat(Step::ALL.len()));
     for row in rows {
-        let _ = write!(text, "\n| {} |", row.trouble);
+        let _ = write!(text, "\n| {} |", row.fault_kind);
         for cell in &row.cells {
             let shown = match (&cell.violation, cell.reached) {
                 (Some(_), _) => "**X**".to_owned(),
--- a/crates/simulation/src/safety/mod.rs
+++ b/crates/simulation/src/safety/mod.rs
@@ -1,9 +1,10 @@
-//! Single requests through every fault at every step, in seeded virtual time.
+//! Fault injection for single requests: every fault at every step, in seeded virtual time.
 //!
-//! Two gateways, two claim keepers, the platform, a back end and a caller that repeats its request, with
-//! the same idempotency key, at the other gateway when it hears nothing. The decisions are those of
-//! production ([`Exchange`](mastbay_attempts::Exchange), [`ClaimClient`](mastbay_claims::ClaimClient),
-//! [`ClaimKeeper`](mastbay_claims::ClaimKeeper)); the record of the back end is the judge.
+//! Models two gateways, two claim keepers, the platform, a back end and a caller that retries its
+//! request at the other gateway, with the same idempotency key, when no answer arrives. The
+//! decisions are made by the production code ([`Exchange`](mastbay_attempts::Exchange),
+//! [`ClaimClient`](mastbay_claims::ClaimClient), [`ClaimKeeper`](mastbay_claims::ClaimKeeper)) and
+//! checked against the runs that the back end records.
 
 mod backend;
 mod matrix;
@@ -11,6 +12,8 @@
 mod plan;
 mod platform;
 
-pub use matrix::{Cell, Found, PROMISES, Row, cells_that_find, is_found, markdown, run_matrix};
-pub use model::{Told, Verdict, Violation, run_once};
-pub use plan::{Mutation, Plan, PlannedFault, Promise, Step, Trouble};
+pub use matrix::{
+    Cell, FoundViolation, PROMISES, Row, detecting_cells, is_detected, markdown, run_matrix,
+};
+pub use model::{CallerResult, RunResult, Violation, run_once};
+pub use plan::{FaultKind, Mutation, Plan, PlannedFault, Promise, Step};
--- a/crates/simulation/src/safety/model/back_end.rs
+++ b/crates/simulation/src/safety/model/back_end.rs
@@ -1,32 +1,32 @@
-//! What the back end does.
+//! Event handling of the back end.
 
 use super::super::plan::Step;
-use super::{Carried, Event, GatewayEvent, Model};
+use super::{Event, GatewayEvent, Model, QueuedEvent};
 
 impl Model<'_> {
     pub(super) fn backend_event(&mut self, event: Event) {
         if self.now < self.backend.frozen_until {
             let until = self.backend.frozen_until;
-            self.events.push(until, Carried::Plain(event));
+            self.events.push(until, QueuedEvent::Plain(event));
             return;
         }
-        let (Event::BackendGetsPart { sending, life }
-        | Event::BackendGetsWhole { sending, life }
-        | Event::BackendEnds { sending, life }) = event
+        let (Event::BackendGetsPart { sending, incarnation }
+        | Event::BackendGetsWhole { sending, incarnation }
+        | Event::BackendEnds { sending, incarnation }) = event
         else {
             return;
         };
-        if life != self.backend.life || !self.backend.is_up(self.now) {
+        if incarnation != self.backend.incarnation || !self.backend.is_up(self.now) {
             return self.break_connection(sending);
         }
         match event {
             Event::BackendGetsWhole { .. } => {
                 self.backend.begin(self.sendings[sending].id);
-                self.reach(sending, Step::Running);
-                let after = self.about(20);
-                self.push(after, Event::BackendEnds { sending, life });
+                self.on_step(sending, Step::Running);
+                let after = self.jittered(20);
+                self.push(after, Event::BackendEnds { sending, incarnation });
             }
-            Event::BackendEnds { .. } if self.gateway_hears(sending) => {
+            Event::BackendEnds { .. } if self.reaches_gateway(sending) => {
                 let attempt = self.sendings[sending].attempt;
                 self.push_gateway(1, sending, GatewayEvent::AnswerBegun { attempt });
             }
--- a/crates/simulation/src/safety/model/caller.rs
+++ b/crates/simulation/src/safety/model/caller.rs
@@ -1,18 +1,18 @@
-//! What the caller does: it sends, gives up, and sends again.
+//! Event handling of the caller: sends, timeouts and retries.
 
 use super::super::plan::{Promise, Step};
-use super::{Event, GatewayEvent, Model, Sending, Told};
+use super::{CallerResult, Event, GatewayEvent, Model, Sending};
 use mastbay_attempts::{Exchange, Outcome, Terms};
 use mastbay_types::RequestId;
 use std::time::Duration;
 
-/// Time that a request has.
+/// Deadline of a request, from the time it is sent.
 const DEADLINE: Duration = Duration::from_millis(800);
-/// Times that callers wait before they repeat a request at the other gateway, by seed: within and
-/// beyond the time for which a keeper believes its memory.
-const CALLER_PATIENCE: [Duration; 2] = [Duration::from_millis(350), Duration::from_millis(650)];
-/// Times that a caller sends its request.
-const CALLER_TRIES: usize = 4;
+/// Times after which callers retry at the other gateway, selected by the seed: shorter and longer
+/// than `KeeperConfig::memory`, for which keepers trust a remembered claim.
+const CALLER_TIMEOUTS: [Duration; 2] = [Duration::from_millis(350), Duration::from_millis(650)];
+/// Maximum number of times that a caller sends its request.
+const MAX_SENDINGS: usize = 4;
 
 impl Model<'_> {
     pub(super) fn caller_sends(&mut self, number: usize) {
@@ -27,44 +27,44 @@
             most_tries: 3,
         });
         let id = RequestId::from_number(number as u128 + 1);
-        let told = (!self.gateways[gateway].alive).then_some(Told::Broken);
-        let over = told.is_some();
-        self.sendings.push(Sending { id, gateway, exchange, attempt: 0, told, over });
-        if over {
+        let reported = (!self.gateways[gateway].alive).then_some(CallerResult::Broken);
+        let finished = reported.is_some();
+        self.sendings.push(Sending { id, gateway, exchange, attempt: 0, reported, finished });
+        if finished {
             return self.repeat_later(number);
         }
-        let patience = CALLER_PATIENCE[(self.plan.seed % 2) as usize];
-        self.push(patience, Event::CallerGivesUp { sending: number });
+        let timeout = CALLER_TIMEOUTS[(self.plan.seed % 2) as usize];
+        self.push(timeout, Event::CallerGivesUp { sending: number });
         self.push(DEADLINE, Event::Gateway { sending: number, what: GatewayEvent::Deadline });
-        self.reach(number, Step::Accepted);
+        self.on_step(number, Step::Accepted);
         let step = self.sendings[number].exchange.start();
-        self.carry_on(number, step);
+        self.perform_step(number, step);
     }
 
     pub(super) fn caller_gives_up(&mut self, number: usize) {
-        if self.sendings[number].told.is_none() {
+        if self.sendings[number].reported.is_none() {
             self.repeat_later(number);
         }
     }
 
-    /// A caller repeats only with a key, or what may be repeated.
+    /// Schedules a retry, unless the request is not repeatable and has no key.
     pub(super) fn repeat_later(&mut self, number: usize) {
         let repeats = self.plan.promise != Promise::NoKey;
         let latest = number + 1 == self.sendings.len();
-        if repeats && latest && self.sendings.len() < CALLER_TRIES {
-            let after = self.about(5);
+        if repeats && latest && self.sendings.len() < MAX_SENDINGS {
+            let after = self.jittered(5);
             self.push(after, Event::CallerSends { sending: number + 1 });
         }
     }
 
-    pub(super) fn tell(&mut self, number: usize, told: Told) {
+    pub(super) fn report(&mut self, number: usize, reported: CallerResult) {
         let sending = &mut self.sendings[number];
-        if sending.told.is_some() {
+        if sending.reported.is_some() {
             return;
         }
-        sending.told = Some(told);
-        // One who was told "unknown" may ask again too: that is what the key is for.
-        if told != Told::Outcome(Outcome::Answered) {
+        sending.reported = Some(reported);
+        // The idempotency key allows a retry after an unknown outcome as well.
+        if reported != CallerResult::Outcome(Outcome::Answered) {
             self.repeat_later(number);
         }
     }
--- a/crates/simulation/src/safety/model/judge.rs
+++ b/crates/simulation/src/safety/model/checks.rs
@@ -1,11 +1,11 @@
-//! What must hold in the end.
+//! Checks of the invariants at the end of a run.
 
 use super::super::plan::Promise;
-use super::{Model, Told, Verdict, Violation};
+use super::{CallerResult, Model, RunResult, Violation};
 use mastbay_attempts::Outcome;
 
 impl Model<'_> {
-    pub(super) fn judge(self) -> Verdict {
+    pub(super) fn check(self) -> RunResult {
         let mut violations = Vec::new();
         let once = matches!(self.plan.promise, Promise::ClaimRequired | Promise::NoKey);
         let total = self.backend.total_runs();
@@ -14,15 +14,15 @@
         }
         for (number, sending) in self.sendings.iter().enumerate() {
             let runs = self.backend.runs_of(sending.id);
-            match sending.told {
-                Some(Told::Outcome(Outcome::NotRun(_))) if runs > 0 => {
-                    violations.push(Violation::ToldNotRunAndRan { sending: number });
+            match sending.reported {
+                Some(CallerResult::Outcome(Outcome::NotRun(_))) if runs > 0 => {
+                    violations.push(Violation::ReportedNotRunButRan { sending: number });
                 }
-                Some(Told::Outcome(Outcome::Answered)) if runs == 0 => {
-                    violations.push(Violation::AnsweredAndNeverRan { sending: number });
+                Some(CallerResult::Outcome(Outcome::Answered)) if runs == 0 => {
+                    violations.push(Violation::AnsweredButNeverRan { sending: number });
                 }
                 None if self.gateways[sending.gateway].alive => {
-                    violations.push(Violation::NeverTold { sending: number });
+                    violations.push(Violation::NoResult { sending: number });
                 }
                 _ => {}
             }
@@ -30,8 +30,8 @@
                 violations.push(Violation::SendingRan { sending: number, times: runs });
             }
         }
-        let reached = self.begun.iter().all(|begun| *begun);
-        let told = self.sendings.iter().map(|sending| sending.told).collect();
-        Verdict { violations, reached, told }
+        let reached = self.injected.iter().all(|injected| *injected);
+        let reported = self.sendings.iter().map(|sending| sending.reported).collect();
+        RunResult { violations, reached, reported }
     }
 }
--- a/crates/simulation/src/safety/model/gateway.rs
+++ b/crates/simulation/src/safety/model/gateway.rs
@@ -1,27 +1,27 @@
-//! What the gateways do, by the steps that an exchange decides.
+//! Event handling of the gateways, which perform the steps that an exchange decides.
 
 use super::super::plan::{Mutation, Step};
-use super::{Carried, Event, GatewayEvent, Model, Told, process};
+use super::{CallerResult, Event, GatewayEvent, Model, QueuedEvent, process};
 use mastbay_attempts::{Failure, NotRunReason, Outcome, Stage, Step as NextStep};
 use mastbay_claims::{ClaimAnswer, ClaimRequest, ClaimState, Intent, Verdict as ClaimVerdict};
 use std::time::Duration;
 
 impl Model<'_> {
-    pub(super) fn carry_on(&mut self, number: usize, step: NextStep) {
+    pub(super) fn perform_step(&mut self, number: usize, step: NextStep) {
         match step {
             NextStep::TakeClaim => {
-                self.reach(number, Step::Claiming);
+                self.on_step(number, Step::Claiming);
                 let gateway = self.sendings[number].gateway;
                 let wish = self.wish(number, Intent::Take);
                 self.gateways[gateway].claims.wish(self.now, wish);
                 self.poll_claims(gateway);
             }
             NextStep::Queue => {
-                self.reach(number, Step::Queued);
+                self.on_step(number, Step::Queued);
                 self.push_gateway(10, number, GatewayEvent::Granted);
             }
             NextStep::Connect => {
-                self.reach(number, Step::Connecting);
+                self.on_step(number, Step::Connecting);
                 self.sendings[number].attempt += 1;
                 let up = self.backend.is_up(self.now);
                 let what = if up { GatewayEvent::Connected } else { GatewayEvent::ConnectFailed };
@@ -37,7 +37,7 @@
 
     pub(super) fn finish(&mut self, number: usize, outcome: Outcome) {
         let gateway = self.sendings[number].gateway;
-        self.sendings[number].over = true;
+        self.sendings[number].finished = true;
         let intent = match outcome {
             Outcome::Answered => Some(Intent::Complete { status: 200 }),
             Outcome::NotRun(_) => Some(Intent::Release),
@@ -51,13 +51,13 @@
             self.gateways[gateway].claims.wish(self.now, wish);
             self.poll_claims(gateway);
         }
-        let told = match outcome {
+        let reported = match outcome {
             Outcome::Unknown(_) if self.mutated(Mutation::TellUnknownAsNotRun) => {
                 Outcome::NotRun(NotRunReason::NoBackend)
             }
             other => other,
         };
-        self.tell(number, Told::Outcome(told));
+        self.report(number, CallerResult::Outcome(reported));
     }
 
     pub(super) fn mutated(&self, mutation: Mutation) -> bool {
@@ -69,15 +69,15 @@
         match what {
             GatewayEvent::Granted if self.sendings[number].exchange.stage() == Stage::Queued => {
                 let step = self.sendings[number].exchange.granted();
-                self.carry_on(number, step);
+                self.perform_step(number, step);
             }
             GatewayEvent::Connected => self.send(number),
             GatewayEvent::ConnectFailed => self.failed(number, Failure::Connect),
             GatewayEvent::SentWhole { attempt } if attempt == current => {
-                self.reach(number, Step::SentWhole);
-                if self.backend_hears(number) {
-                    let (life, after) = (self.backend.life, self.about(1));
-                    self.push(after, Event::BackendGetsWhole { sending: number, life });
+                self.on_step(number, Step::SentWhole);
+                if self.reaches_backend(number) {
+                    let (incarnation, after) = (self.backend.incarnation, self.jittered(1));
+                    self.push(after, Event::BackendGetsWhole { sending: number, incarnation });
                 }
             }
             GatewayEvent::Broken { attempt } if attempt == current => {
@@ -87,21 +87,21 @@
                 self.failed(number, Failure::Broken);
             }
             GatewayEvent::AnswerBegun { attempt } if attempt == current => {
-                self.reach(number, Step::AnswerBegun);
+                self.on_step(number, Step::AnswerBegun);
                 self.push_gateway(2, number, GatewayEvent::AnswerWhole { attempt });
             }
             GatewayEvent::AnswerWhole { attempt } if attempt == current => {
-                if !self.gateway_hears(number) || !self.backend.is_up(self.now) {
+                if !self.reaches_gateway(number) || !self.backend.is_up(self.now) {
                     return;
                 }
-                self.reach(number, Step::AnswerWhole);
+                self.on_step(number, Step::AnswerWhole);
                 let (gateway, alive) = {
                     let gateway = self.sendings[number].gateway;
                     (gateway, self.gateways[gateway].alive)
                 };
-                if alive && self.gateway_pause(gateway).is_none() {
+                if alive && self.gateway_wake_time(gateway).is_none() {
                     let step = self.sendings[number].exchange.answered();
-                    self.carry_on(number, step);
+                    self.perform_step(number, step);
                 } else {
                     let what = GatewayEvent::AnswerWhole { attempt };
                     self.push_gateway(1, number, what);
@@ -116,7 +116,7 @@
         let gateway = self.sendings[number].gateway;
         let budget = &mut self.gateways[gateway].budget;
         let step = self.sendings[number].exchange.failed(self.now, failure, budget);
-        self.carry_on(number, step);
+        self.perform_step(number, step);
     }
 
     pub(super) fn send(&mut self, number: usize) {
@@ -125,25 +125,25 @@
             return self.failed(number, Failure::Deadline);
         }
         let attempt = self.sendings[number].attempt;
-        if self.backend_hears(number) {
-            let (life, after) = (self.backend.life, self.about(1));
-            self.push(after, Event::BackendGetsPart { sending: number, life });
+        if self.reaches_backend(number) {
+            let (incarnation, after) = (self.backend.incarnation, self.jittered(1));
+            self.push(after, Event::BackendGetsPart { sending: number, incarnation });
         }
-        self.reach(number, Step::SentPart);
+        self.on_step(number, Step::SentPart);
         self.push_gateway(1, number, GatewayEvent::SentWhole { attempt });
         if !may {
-            let (life, after) = (self.backend.life, self.about(3));
-            self.push(after, Event::BackendGetsWhole { sending: number, life });
+            let (incarnation, after) = (self.backend.incarnation, self.jittered(3));
+            self.push(after, Event::BackendGetsWhole { sending: number, incarnation });
             self.failed(number, Failure::Deadline);
         }
     }
 
-    /// Cuts are between the first gateway and the back end.
-    pub(super) fn backend_hears(&self, number: usize) -> bool {
+    /// Returns whether messages reach the back end. Only the first gateway is ever partitioned.
+    pub(super) fn reaches_backend(&self, number: usize) -> bool {
         self.sendings[number].gateway != 0 || self.now >= self.backend.cut_until
     }
 
-    pub(super) fn gateway_hears(&self, number: usize) -> bool {
+    pub(super) fn reaches_gateway(&self, number: usize) -> bool {
         let cut_until = self.backend.cut_until.max(self.backend.answers_cut_until);
         self.sendings[number].gateway != 0 || self.now >= cut_until
     }
@@ -152,8 +152,8 @@
         let (wishes, given_up) = self.gateways[gateway].claims.poll(self.now);
         for (to, wish) in wishes {
             let keeper = usize::from(to == process("keeper", 1));
-            let at = self.now + self.about(1);
-            self.events.push(at, Carried::Wish { keeper, from: gateway, wish });
+            let at = self.now + self.jittered(1);
+            self.events.push(at, QueuedEvent::Wish { keeper, from: gateway, wish });
         }
         for answer in given_up {
             self.settle(gateway, answer);
@@ -162,7 +162,7 @@
         if next < self.gateways[gateway].timer {
             let at = next.max(self.now + Duration::from_millis(1));
             self.gateways[gateway].timer = at;
-            self.events.push(at, Carried::Plain(Event::ClaimTimer { gateway }));
+            self.events.push(at, QueuedEvent::Plain(Event::ClaimTimer { gateway }));
         }
     }
 
@@ -179,7 +179,9 @@
         let found = self.sendings.iter().position(|sending| sending.id == answer.wish.request);
         let Some(number) = found else { return };
         let sending = &mut self.sendings[number];
-        if sending.over || sending.gateway != gateway || sending.exchange.stage() != Stage::Claiming
+        if sending.finished
+            || sending.gateway != gateway
+            || sending.exchange.stage() != Stage::Claiming
         {
             return;
         }
@@ -192,6 +194,6 @@
                 sending.exchange.claim_taken(matches!(state, ClaimState::Completed { .. }))
             }
         };
-        self.carry_on(number, step);
+        self.perform_step(number, step);
     }
 }
--- a/crates/simulation/src/safety/model/keeper.rs
+++ b/crates/simulation/src/safety/model/keeper.rs
@@ -1,15 +1,15 @@
-//! What the claim keepers do, and other callers' claims.
+//! Event handling of the claim keepers, and competing claims of other callers.
 
 use super::super::plan::{Mutation, Step};
-use super::super::platform::{Heard, Outcome as CallOutcome};
-use super::{Carried, Event, Model, UNIX_TIME, process};
+use super::super::platform::{Outcome as CallOutcome, PlatformReply};
+use super::{Event, Model, QueuedEvent, UNIX_TIME, process};
 use mastbay_claims::{
     CallFailure, ClaimKey, ClaimRequest, ClaimShard, Intent, Operation, OperationKind, ShardIndex,
 };
 use mastbay_types::{RequestId, ServiceName, TenantName};
 use std::time::Duration;
 
-/// Where the numbers of other callers' requests begin.
+/// First request number of other callers.
 const OTHER_REQUESTS: u128 = 1_000;
 
 impl Model<'_> {
@@ -22,15 +22,15 @@
         if next < self.keepers[keeper].timer {
             let at = next.max(self.now + Duration::from_millis(1));
             self.keepers[keeper].timer = at;
-            self.events.push(at, Carried::Plain(Event::KeeperTimer { keeper }));
+            self.events.push(at, QueuedEvent::Plain(Event::KeeperTimer { keeper }));
         }
     }
 
     pub(super) fn call(&mut self, keeper: usize, operation: Operation) {
         let shard = operation.shard;
         let takes = matches!(operation.kind, OperationKind::Write { .. });
-        let (heard, late) = self.platform.write(self.now, shard, operation.kind);
-        let Heard { at, outcome } = heard;
+        let (reply, late) = self.platform.write(self.now, shard, operation.kind);
+        let PlatformReply { at, outcome } = reply;
         let outcome = match outcome {
             CallOutcome::Write(Err(CallFailure::NoAnswer))
                 if self.mutated(Mutation::NoReadBack) =>
@@ -39,12 +39,12 @@
             }
             other => other,
         };
-        self.events.push(at, Carried::Call { keeper, shard, outcome });
+        self.events.push(at, QueuedEvent::Call { keeper, shard, outcome });
         if let Some((at, write)) = late {
-            self.events.push(at, Carried::LateWrite(write));
+            self.events.push(at, QueuedEvent::LateWrite(write));
         }
         if keeper == self.holder() && !self.sendings.is_empty() {
-            self.reach(0, if takes { Step::ClaimWritten } else { Step::ClaimRead });
+            self.on_step(0, if takes { Step::ClaimWritten } else { Step::ClaimRead });
         }
     }
 
@@ -63,13 +63,13 @@
     pub(super) fn send_answers(&mut self, keeper: usize) {
         for (to, answer) in self.keepers[keeper].keeper.take_answers() {
             let gateway = usize::from(to == process("gateway", 1));
-            let at = self.now + self.about(1);
-            self.events.push(at, Carried::Answer { gateway, answer });
+            let at = self.now + self.jittered(1);
+            self.events.push(at, QueuedEvent::Answer { gateway, answer });
         }
     }
 
-    /// Another caller's claim in the same shard, brought to the keeper that is not first in order, as
-    /// by a gateway with another view of the fleet: two keepers write one shard.
+    /// Sends another caller's claim in the same shard to the second keeper, as a gateway with a
+    /// different view of the fleet does, so that two keepers write one shard.
     pub(super) fn other_claim(&mut self, number: usize) {
         let (tenant, service) = (TenantName::from("desk"), ServiceName::from("bookings"));
         let same_shard = |key: &ClaimKey| key.shard() == self.key.shard();
@@ -78,6 +78,6 @@
         let request = RequestId::from_number(OTHER_REQUESTS + number as u128);
         let wish = ClaimRequest { key, request, intent: Intent::Take };
         let keeper = 1 - self.holder();
-        self.events.push(self.now, Carried::Wish { keeper, from: 1, wish });
+        self.events.push(self.now, QueuedEvent::Wish { keeper, from: 1, wish });
     }
 }
--- a/crates/simulation/src/safety/model/mod.rs
+++ b/crates/simulation/src/safety/model/mod.rs
@@ -1,11 +1,11 @@
-//! One try: the request, its trouble, and the verdict.
+//! The model of one run: events, processes and the result.
 
 mod back_end;
 mod caller;
+mod checks;
+mod fault_injection;
 mod gateway;
-mod judge;
 mod keeper;
-mod trouble;
 
 use super::backend::Backend;
 use super::plan::{Mutation, Plan};
@@ -23,70 +23,70 @@
 use rand_chacha::rand_core::SeedableRng;
 use std::time::Duration;
 
-/// End of a try.
+/// Virtual time at which a run ends.
 const END: Timestamp = Timestamp::from_millis(12_000);
-/// Claims of other callers in the same shard, and their distance.
+/// Number and timing of other callers' claims in the same shard.
 const OTHER_CLAIMS: usize = 12;
 const OTHER_CLAIM_MILLIS: u64 = 4;
 const OTHER_CLAIM_SPACING: Duration = Duration::from_millis(9);
-/// Wall-clock time of every try, in seconds.
+/// Wall-clock time of every run, in seconds since the Unix epoch.
 const UNIX_TIME: u64 = 1_000_000;
 
-/// What a caller was told of one sending of its request.
+/// Result that the caller received for one sending of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
-    /// The outcome.
+pub enum CallerResult {
+    /// The gateway reported an outcome.
     Outcome(Outcome),
-    /// Nothing: the connection broke.
+    /// The connection broke without an answer.
     Broken,
 }
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Violation {
-    /// An operation that may run once ran more often, over all sendings.
+    /// An operation that may run at most once ran more often, over all sendings.
     #[display("the operation ran {times} times")]
     OperationRan {
-        /// How often.
+        /// Number of runs.
         times: u32,
     },
-    /// One sending of what may not be repeated ran more than once.
+    /// One sending of a request that is not repeatable ran more than once.
     #[display("sending {sending} ran {times} times")]
     SendingRan {
-        /// Which.
+        /// Index of the sending.
         sending: usize,
-        /// How often.
+        /// Number of runs.
         times: u32,
     },
-    /// A caller was told that its request did not run.
-    #[display("sending {sending} was told not-run and ran")]
-    ToldNotRunAndRan {
-        /// Which sending.
+    /// A request that was reported as not run has run.
+    #[display("sending {sending} was reported as not run but ran")]
+    ReportedNotRunButRan {
+        /// Index of the sending.
         sending: usize,
     },
-    /// A caller got an answer to what never ran.
-    #[display("sending {sending} was answered and never ran")]
-    AnsweredAndNeverRan {
-        /// Which sending.
+    /// A request was answered but never ran.
+    #[display("sending {sending} was answered but never ran")]
+    AnsweredButNeverRan {
+        /// Index of the sending.
         sending: usize,
     },
-    /// A caller of a living gateway heard nothing to the end.
-    #[display("sending {sending} was never told anything")]
-    NeverTold {
-        /// Which sending.
+    /// A caller of a live gateway received no result before the end of the run.
+    #[display("sending {sending} received no result")]
+    NoResult {
+        /// Index of the sending.
         sending: usize,
     },
 }
 
-/// How a try ended.
+/// Result of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Verdict {
-    /// What is wrong; empty if every promise was kept.
+pub struct RunResult {
+    /// Violations found; empty if all invariants hold.
     pub violations: Vec<Violation>,
-    /// Whether the trouble began: its step was reached.
+    /// Whether every planned fault was injected.
     pub reached: bool,
-    /// What the caller was told, by sending.
-    pub told: Vec<Option<Told>>,
+    /// Result received by the caller for each sending; `None` if there was none.
+    pub reported: Vec<Option<CallerResult>>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -97,9 +97,9 @@
     ClaimTimer { gateway: usize },
     KeeperTimer { keeper: usize },
     OtherClaim { number: usize },
-    BackendGetsPart { sending: usize, life: u32 },
-    BackendGetsWhole { sending: usize, life: u32 },
-    BackendEnds { sending: usize, life: u32 },
+    BackendGetsPart { sending: usize, incarnation: u32 },
+    BackendGetsWhole { sending: usize, incarnation: u32 },
+    BackendEnds { sending: usize, incarnation: u32 },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -114,8 +114,8 @@
     Deadline,
 }
 
-/// Events with contents that are not copied.
-enum Carried {
+/// Queued events, including those whose contents are not `Copy`.
+enum QueuedEvent {
     Plain(Event),
     Wish { keeper: usize, from: usize, wish: ClaimRequest },
     Answer { gateway: usize, answer: ClaimAnswer },
@@ -129,8 +129,8 @@
     gateway: usize,
     exchange: Exchange,
     attempt: u32,
-    told: Option<Told>,
-    over: bool,
+    reported: Option<CallerResult>,
+    finished: bool,
 }
 
 struct Gateway {
@@ -151,19 +151,19 @@
 struct Model<'a> {
     plan: &'a Plan,
     now: Timestamp,
-    events: EventQueue<Carried>,
+    events: EventQueue<QueuedEvent>,
     random: ChaCha8Rng,
     gateways: Vec<Gateway>,
     keepers: Vec<Keeper>,
     platform: Platform,
     backend: Backend,
     sendings: Vec<Sending>,
-    begun: Vec<bool>,
+    injected: Vec<bool>,
     key: ClaimKey,
 }
 
-/// Runs one try.
-pub fn run_once(plan: &Plan) -> Verdict {
+/// Runs a plan and checks the invariants.
+pub fn run_once(plan: &Plan) -> RunResult {
     Model::new(plan).run()
 }
 
@@ -211,7 +211,7 @@
             platform: Platform::new(unconditional),
             backend: Backend::default(),
             sendings: Vec::new(),
-            begun: vec![false; plan.faults.len()],
+            injected: vec![false; plan.faults.len()],
             key: ClaimKey::new(
                 &TenantName::from("desk"),
                 &ServiceName::from("bookings"),
@@ -220,10 +220,10 @@
         }
     }
 
-    fn run(mut self) -> Verdict {
+    fn run(mut self) -> RunResult {
         self.push(Duration::ZERO, Event::CallerSends { sending: 0 });
         for number in 0..OTHER_CLAIMS {
-            let after = self.about(OTHER_CLAIM_MILLIS) + OTHER_CLAIM_SPACING * number as u32;
+            let after = self.jittered(OTHER_CLAIM_MILLIS) + OTHER_CLAIM_SPACING * number as u32;
             self.push(after, Event::OtherClaim { number });
         }
         while let Some((at, event)) = self.events.pop() {
@@ -233,52 +233,52 @@
             self.now = at;
             self.handle(event);
         }
-        self.judge()
+        self.check()
     }
 
-    /// Some delay around `millis`.
-    fn about(&mut self, millis: u64) -> Duration {
+    /// Returns a random delay between 0.5 and 1.5 times `millis`.
+    fn jittered(&mut self, millis: u64) -> Duration {
         Duration::from_micros(self.random.random_range(500..1_500) * millis)
     }
 
     fn push(&mut self, after: Duration, event: Event) {
-        self.events.push(self.now + after, Carried::Plain(event));
+        self.events.push(self.now + after, QueuedEvent::Plain(event));
     }
 
     fn push_gateway(&mut self, millis: u64, sending: usize, what: GatewayEvent) {
-        let after = self.about(millis);
+        let after = self.jittered(millis);
         self.push(after, Event::Gateway { sending, what });
     }
 
-    fn handle(&mut self, event: Carried) {
+    fn handle(&mut self, event: QueuedEvent) {
         match event {
-            Carried::Plain(event) => self.handle_plain(event),
-            Carried::Wish { keeper, from, wish } => {
-                if let Some(later) = self.keeper_pause(keeper) {
-                    self.events.push(later, Carried::Wish { keeper, from, wish });
+            QueuedEvent::Plain(event) => self.handle_plain(event),
+            QueuedEvent::Wish { keeper, from, wish } => {
+                if let Some(later) = self.keeper_wake_time(keeper) {
+                    self.events.push(later, QueuedEvent::Wish { keeper, from, wish });
                 } else if self.keepers[keeper].alive {
                     let gateway = process("gateway", from);
                     self.keepers[keeper].keeper.handle_wish(self.now, &gateway, wish);
                     self.poll_keeper(keeper);
                 }
             }
-            Carried::Answer { gateway, answer } => {
-                if let Some(later) = self.gateway_pause(gateway) {
-                    self.events.push(later, Carried::Answer { gateway, answer });
+            QueuedEvent::Answer { gateway, answer } => {
+                if let Some(later) = self.gateway_wake_time(gateway) {
+                    self.events.push(later, QueuedEvent::Answer { gateway, answer });
                 } else if self.gateways[gateway].alive {
                     self.take_answer(gateway, answer);
                 }
             }
-            Carried::Call { keeper, shard, outcome } => {
-                if let Some(later) = self.keeper_pause(keeper) {
-                    self.events.push(later, Carried::Call { keeper, shard, outcome });
+            QueuedEvent::Call { keeper, shard, outcome } => {
+                if let Some(later) = self.keeper_wake_time(keeper) {
+                    self.events.push(later, QueuedEvent::Call { keeper, shard, outcome });
                 } else if self.keepers[keeper].alive {
                     self.take_call(keeper, shard, outcome);
                 }
             }
-            Carried::LateWrite(write) => {
-                // Whether it still may is the platform's to say; nobody hears of it.
-                let _ = self.platform.take_effect(&write);
+            QueuedEvent::LateWrite(write) => {
+                // The platform may reject the write; the keeper has already timed out.
+                let _ = self.platform.apply(&write);
             }
         }
     }
@@ -289,23 +289,23 @@
             Event::CallerGivesUp { sending } => self.caller_gives_up(sending),
             Event::Gateway { sending, what } => {
                 let gateway = self.sendings[sending].gateway;
-                if let Some(later) = self.gateway_pause(gateway) {
-                    self.events.push(later, Carried::Plain(event));
-                } else if self.gateways[gateway].alive && !self.sendings[sending].over {
+                if let Some(later) = self.gateway_wake_time(gateway) {
+                    self.events.push(later, QueuedEvent::Plain(event));
+                } else if self.gateways[gateway].alive && !self.sendings[sending].finished {
                     self.gateway_event(sending, what);
                 }
             }
             Event::ClaimTimer { gateway } => {
-                if let Some(later) = self.gateway_pause(gateway) {
-                    self.events.push(later, Carried::Plain(event));
+                if let Some(later) = self.gateway_wake_time(gateway) {
+                    self.events.push(later, QueuedEvent::Plain(event));
                 } else if self.gateways[gateway].alive {
                     self.gateways[gateway].timer = Timestamp::NEVER;
                     self.poll_claims(gateway);
                 }
             }
             Event::KeeperTimer { keeper } => {
-                if let Some(later) = self.keeper_pause(keeper) {
-                    self.events.push(later, Carried::Plain(event));
+                if let Some(later) = self.keeper_wake_time(keeper) {
+                    self.events.push(later, QueuedEvent::Plain(event));
                 } else if self.keepers[keeper].alive {
                     self.keepers[keeper].timer = Timestamp::NEVER;
                     self.poll_keeper(keeper);
@@ -318,12 +318,12 @@
         }
     }
 
-    fn gateway_pause(&self, gateway: usize) -> Option<Timestamp> {
+    fn gateway_wake_time(&self, gateway: usize) -> Option<Timestamp> {
         let until = self.gateways[gateway].frozen_until;
         (self.now < until).then_some(until)
     }
 
-    fn keeper_pause(&self, keeper: usize) -> Option<Timestamp> {
+    fn keeper_wake_time(&self, keeper: usize) -> Option<Timestamp> {
         let until = self.keepers[keeper].frozen_until;
         (self.now < until).then_some(until)
     }
--- a/crates/simulation/src/safety/plan.rs
+++ b/crates/simulation/src/safety/plan.rs
@@ -1,58 +1,58 @@
-//! What is tried: which request, which trouble at which step, which seed.
+//! Plans of runs: the kind of request, the faults with their steps, and the seed.
 
 use derive_more::Display;
 
-/// What was declared for the request.
+/// Declared retry and claim behaviour of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Promise {
-    /// May not be repeated, carries a key, is refused when its claim cannot be kept.
+    /// Not repeatable, has an idempotency key, and is refused when its claim cannot be stored.
     #[display("claim required")]
     ClaimRequired,
-    /// May not be repeated, carries a key, runs without claim when that cannot be kept.
+    /// Not repeatable, has an idempotency key, and runs without a claim when it cannot be stored.
     #[display("claim when available")]
     ClaimWhenAvailable,
-    /// May not be repeated and carries no key: its caller does not repeat it.
+    /// Not repeatable and without an idempotency key: the caller does not retry it.
     #[display("no key")]
     NoKey,
-    /// May be repeated.
+    /// Safe to repeat.
     #[display("repeatable")]
     Repeatable,
 }
 
-/// Steps of a request at which trouble may begin.
+/// Steps of a request at which a fault can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Step {
-    /// Accepted, before anything else.
+    /// The gateway has accepted the request.
     #[display("accepted")]
     Accepted,
-    /// Its claim is asked for.
+    /// The gateway requests the claim.
     #[display("claiming")]
     Claiming,
-    /// The claim's shard is read from the platform.
+    /// The keeper reads the claim's shard from the platform.
     #[display("claim read")]
     ClaimRead,
-    /// The claim's write is at the platform.
+    /// The keeper has sent the claim's write to the platform.
     #[display("claim written")]
     ClaimWritten,
-    /// It waits for a grant.
+    /// The request waits for a grant.
     #[display("queued")]
     Queued,
-    /// It has a grant and connects.
+    /// The request has a grant and the gateway connects to the back end.
     #[display("connecting")]
     Connecting,
-    /// A part of it was sent.
+    /// Part of the request has been sent.
     #[display("sent in part")]
     SentPart,
-    /// The whole of it was sent.
+    /// The complete request has been sent.
     #[display("sent whole")]
     SentWhole,
-    /// It runs.
+    /// The back end runs the request.
     #[display("running")]
     Running,
-    /// Its answer has begun to arrive.
+    /// The answer has begun to arrive.
     #[display("answer begun")]
     AnswerBegun,
-    /// Its answer has arrived whole.
+    /// The complete answer has arrived.
     #[display("answer whole")]
     AnswerWhole,
 }
@@ -74,96 +74,96 @@
     ];
 }
 
-/// What goes wrong.
+/// Kinds of injected faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
-pub enum Trouble {
-    /// The caller's gateway dies.
+pub enum FaultKind {
+    /// The caller's gateway is killed and does not restart.
     #[display("gateway killed")]
     GatewayKilled,
-    /// The caller's gateway stands still for a while within the deadline.
+    /// The caller's gateway freezes and resumes before the deadline.
     #[display("gateway frozen, short")]
     GatewayFrozenShort,
-    /// The caller's gateway stands still beyond the deadline and wakes.
+    /// The caller's gateway freezes and resumes after the deadline.
     #[display("gateway frozen, long")]
     GatewayFrozenLong,
-    /// The back end dies and starts again.
+    /// The back end is killed and restarts.
     #[display("back end killed")]
     BackendKilled,
-    /// The back end stands still beyond the deadline and wakes.
+    /// The back end freezes and resumes after the deadline.
     #[display("back end frozen")]
     BackendFrozen,
-    /// Nothing passes between gateway and back end, either way.
+    /// The gateway and the back end are partitioned in both directions.
     #[display("back end cut off")]
     BackendCut,
-    /// Nothing passes from the back end to the gateway.
+    /// Messages from the back end to the gateway are dropped.
     #[display("answers cut off")]
     AnswersCut,
-    /// The keeper of the claim dies.
+    /// The claim's first keeper is killed and does not restart.
     #[display("keeper killed")]
     KeeperKilled,
-    /// The keeper of the claim stands still and wakes.
+    /// The claim's first keeper freezes and resumes.
     #[display("keeper frozen")]
     KeeperFrozen,
-    /// The platform is down for a while.
+    /// The platform is unavailable for a limited time.
     #[display("platform down")]
     PlatformDown,
-    /// The platform is slower than its callers wait.
+    /// The platform answers later than the keepers' timeout.
     #[display("platform slow")]
     PlatformSlow,
-    /// Writes take effect, but their answers are lost.
+    /// Writes are applied, but their answers are lost.
     #[display("platform loses answers")]
     AnswersLost,
 }
 
-impl Trouble {
-    /// All troubles.
-    pub const ALL: [Trouble; 12] = [
-        Trouble::GatewayKilled,
-        Trouble::GatewayFrozenShort,
-        Trouble::GatewayFrozenLong,
-        Trouble::BackendKilled,
-        Trouble::BackendFrozen,
-        Trouble::BackendCut,
-        Trouble::AnswersCut,
-        Trouble::KeeperKilled,
-        Trouble::KeeperFrozen,
-        Trouble::PlatformDown,
-        Trouble::PlatformSlow,
-        Trouble::AnswersLost,
+impl FaultKind {
+    /// All kinds, in the order of the matrix rows.
+    pub const ALL: [FaultKind; 12] = [
+        FaultKind::GatewayKilled,
+        FaultKind::GatewayFrozenShort,
+        FaultKind::GatewayFrozenLong,
+        FaultKind::BackendKilled,
+        FaultKind::BackendFrozen,
+        FaultKind::BackendCut,
+        FaultKind::AnswersCut,
+        FaultKind::KeeperKilled,
+        FaultKind::KeeperFrozen,
+        FaultKind::PlatformDown,
+        FaultKind::PlatformSlow,
+        FaultKind::AnswersLost,
     ];
 }
 
-/// Trouble at a step of the first request.
+/// A fault injected at a step of the first sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// The step.
+    /// Step at which the fault is injected.
     pub step: Step,
-    /// The trouble.
-    pub trouble: Trouble,
+    /// Fault that is injected.
+    pub fault_kind: FaultKind,
 }
 
-/// A deliberate fault of the code, to show that the checks can fail.
+/// A deliberate defect in the code, which shows that the checks can fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Mutation {
-    /// A broken exchange counts as one in which nothing was written.
+    /// Treats a broken exchange as one in which nothing was written.
     #[display("retry after a byte was sent")]
     RetryAfterSent,
-    /// A claim that could not be kept counts as kept.
+    /// Treats a claim that could not be stored as stored.
     #[display("run without the claim")]
     RunWithoutClaim,
-    /// A claim's write is not conditional.
+    /// Writes claims unconditionally.
     #[display("unconditional claim write")]
     UnconditionalWrite,
-    /// A write without answer counts as written, without reading back.
+    /// Treats an unanswered write as applied, without reading it back.
     #[display("no read-back after a lost answer")]
     NoReadBack,
-    /// A request with unknown outcome gives its claim back.
+    /// Releases the claim of a request with unknown outcome.
     #[display("release on unknown outcome")]
     ReleaseOnUnknown,
-    /// The deadline is not looked at right before sending.
+    /// Skips the check of the deadline right before sending.
     #[display("send after the deadline")]
     SendAfterDeadline,
-    /// An unknown outcome is told as not run.
+    /// Reports an unknown outcome as not run.
     #[display("tell unknown as not run")]
     TellUnknownAsNotRun,
 }
@@ -181,15 +181,15 @@
     ];
 }
 
-/// One try.
+/// Inputs of one run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// What was declared for the request.
+    /// Declared retry and claim behaviour of the request.
     pub promise: Promise,
-    /// What goes wrong.
+    /// Faults to inject.
     pub faults: Vec<PlannedFault>,
-    /// A deliberate fault of the code.
+    /// Defect to apply to the code, if any.
     pub mutation: Option<Mutation>,
-    /// Seed of the delays.
+    /// Seed of the random delays.
     pub seed: u64,
 }
--- a/crates/simulation/tests/safety.rs
+++ b/crates/simulation/tests/safety.rs
@@ -1,7 +1,7 @@
-//! The fault matrix in seeded virtual time, alone and in pairs, and the proof that its checks can fail.
+//! Tests of the fault matrix with single faults and pairs, and of its checks by mutations.
 
 use mastbay_simulation::safety::{
-    Mutation, PROMISES, PlannedFault, Promise, Row, Step, Trouble, is_found, run_matrix,
+    FaultKind, Mutation, PROMISES, PlannedFault, Promise, Row, Step, is_detected, run_matrix,
 };
 
 const SEEDS: u64 = 20;
@@ -11,13 +11,13 @@
     cells
         .filter_map(|(row, cell)| {
             let violation = cell.violation.as_ref()?;
-            Some(format!("{}, {} at {}: {violation}", row.promise, row.trouble, cell.step))
+            Some(format!("{}, {} at {}: {violation}", row.promise, row.fault_kind, cell.step))
         })
         .collect()
 }
 
 #[test]
-fn every_trouble_at_every_step_alone() {
+fn every_fault_at_every_step_alone() {
     for promise in PROMISES {
         let found = violations(&run_matrix(promise, None, None, SEEDS));
         assert!(found.is_empty(), "{found:#?}");
@@ -25,23 +25,23 @@
 }
 
 #[test]
-fn every_trouble_at_every_step_together_with_another() {
-    for (step, trouble) in [
-        (Step::Accepted, Trouble::PlatformSlow),
-        (Step::Accepted, Trouble::AnswersLost),
-        (Step::Claiming, Trouble::KeeperFrozen),
-        (Step::ClaimWritten, Trouble::KeeperKilled),
-        (Step::ClaimWritten, Trouble::GatewayFrozenShort),
-        (Step::Queued, Trouble::GatewayKilled),
-        (Step::Connecting, Trouble::GatewayFrozenLong),
-        (Step::SentPart, Trouble::BackendKilled),
-        (Step::Running, Trouble::AnswersCut),
-        (Step::Running, Trouble::PlatformDown),
+fn every_fault_at_every_step_with_a_second_fault() {
+    for (step, fault_kind) in [
+        (Step::Accepted, FaultKind::PlatformSlow),
+        (Step::Accepted, FaultKind::AnswersLost),
+        (Step::Claiming, FaultKind::KeeperFrozen),
+        (Step::ClaimWritten, FaultKind::KeeperKilled),
+        (Step::ClaimWritten, FaultKind::GatewayFrozenShort),
+        (Step::Queued, FaultKind::GatewayKilled),
+        (Step::Connecting, FaultKind::GatewayFrozenLong),
+        (Step::SentPart, FaultKind::BackendKilled),
+        (Step::Running, FaultKind::AnswersCut),
+        (Step::Running, FaultKind::PlatformDown),
     ] {
-        let second = Some(PlannedFault { step, trouble });
+        let second = Some(PlannedFault { step, fault_kind });
         for promise in PROMISES {
             let found = violations(&run_matrix(promise, second, None, 4));
-            assert!(found.is_empty(), "with {trouble} at {step}: {found:#?}");
+            assert!(found.is_empty(), "with {fault_kind} at {step}: {found:#?}");
         }
     }
 }
@@ -51,7 +51,7 @@
     let rows = run_matrix(Promise::ClaimRequired, None, None, 2);
     for row in &rows {
         for cell in &row.cells {
-            assert!(cell.reached > 0, "{} at {} was never tried", row.trouble, cell.step);
+            assert!(cell.reached > 0, "{} at {} was never tried", row.fault_kind, cell.step);
         }
     }
 }
@@ -59,6 +59,6 @@
 #[test]
 fn each_mutation_of_the_code_is_found() {
     for mutation in Mutation::ALL {
-        assert!(is_found(mutation, SEEDS), "the checks do not see: {mutation}");
+        assert!(is_detected(mutation, SEEDS), "the checks do not see: {mutation}");
     }
 }
