--- a/crates/simulation/src/bin/mastbay-experiment.rs
+++ b/crates/simulation/src/bin/mastbay-experiment.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use mastbay_grants::DemandConfig;
 use mastbay_simulation::baselines::{EarlyBinding, GatewaysAlone, SingleQueue};
-use mastbay_simulation::faults::{Fault, in_turn};
+use mastbay_simulation::faults::{Fault, rotating_faults};
 use mastbay_simulation::fleet::{Fleet, FleetOptions};
 use mastbay_simulation::report::{Figures, table};
 use mastbay_simulation::scenario::Scenario;
@@ -61,7 +61,7 @@
         let options = FleetOptions { demand, membership: true, faults, ..Default::default() };
         Fleet::new(scenario, options, seed)
     };
-    let lost = in_turn(
+    let lost = rotating_faults(
         scenario.machines,
         Duration::from_secs(20),
         Duration::from_secs(8),
--- a/crates/simulation/src/engines.rs
+++ b/crates/simulation/src/engines.rs
@@ -1,14 +1,13 @@
-//! Back ends: slots, a queue for what exceeds them, and service in proportion to time.
+//! Model of back ends: slots, a queue for further requests, and service proportional to time.
 
 use crate::scenario::Scenario;
 use mastbay_types::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Number of a request within a run.
+/// Index of a request within a run.
 pub type RequestNumber = usize;
 
-/// One back end.
 #[derive(Debug)]
 struct Engine {
     service: usize,
@@ -17,11 +16,11 @@
     queue: VecDeque<RequestNumber>,
 }
 
-/// All back ends, numbered through all services.
+/// All back ends, with consecutive indices across services.
 #[derive(Debug)]
 pub struct Engines {
     engines: Vec<Engine>,
-    /// First engine of each service.
+    /// Index of the first engine of each service.
     first: Vec<usize>,
     steps: Vec<Duration>,
     /// Free slots of each service.
@@ -29,7 +28,7 @@
 }
 
 impl Engines {
-    /// Idle back ends.
+    /// Creates the idle back ends of a scenario.
     pub fn new(scenario: &Scenario) -> Self {
         let mut engines = Vec::new();
         let mut first = Vec::new();
@@ -45,29 +44,29 @@
         Self { engines, first, steps, free }
     }
 
-    /// Engines of a service.
+    /// Returns the indices of a service's engines.
     pub fn of_service(&self, service: usize) -> std::ops::Range<usize> {
         let end = self.first.get(service + 1).copied().unwrap_or(self.engines.len());
         self.first[service]..end
     }
 
-    /// Requests that run or wait at an engine.
+    /// Returns the number of requests that run or wait at an engine.
     pub fn load(&self, engine: usize) -> usize {
         self.engines[engine].running.len() + self.engines[engine].queue.len()
     }
 
-    /// Slots of an engine.
+    /// Returns the number of slots of an engine.
     pub fn slots(&self, engine: usize) -> usize {
         self.engines[engine].slots as usize
     }
 
-    /// Free slots of a service.
+    /// Returns the number of free slots of a service.
     pub fn free_slots(&self, service: usize) -> u32 {
         self.free[service]
     }
 
-    /// Brings a request. Returns whether it runs at once.
-    pub fn offer(&mut self, now: Timestamp, engine: usize, request: RequestNumber) -> bool {
+    /// Submits a request. Returns `true` if it starts at once, `false` if it is queued.
+    pub fn submit(&mut self, now: Timestamp, engine: usize, request: RequestNumber) -> bool {
         let engine = &mut self.engines[engine];
         if engine.running.len() < engine.slots as usize {
             engine.running.insert(request, now);
@@ -78,7 +77,7 @@
         false
     }
 
-    /// Ends a request. Returns the one that takes its slot.
+    /// Ends a request. Returns the queued request that takes its slot, if any.
     pub fn end(
         &mut self,
         now: Timestamp,
@@ -95,17 +94,17 @@
         Some(next)
     }
 
-    /// Requests that run at an engine, with the time at which each began.
+    /// Returns the running requests of an engine with their start times.
     pub fn running(&self, engine: usize) -> impl Iterator<Item = (RequestNumber, Timestamp)> + '_ {
         self.engines[engine].running.iter().map(|(request, since)| (*request, *since))
     }
 
-    /// When a request that begins at `now` ends.
+    /// Returns the time at which a request that begins at `now` ends.
     pub fn end_of(&self, now: Timestamp, service: usize, cost: u64) -> Timestamp {
         now + self.steps[service] * u32::try_from(cost).unwrap_or(u32::MAX)
     }
 
-    /// Service that a request begun at `since` has received.
+    /// Returns the service, in cost units, that a request started at `since` has received.
     pub fn delivered(&self, now: Timestamp, service: usize, since: Timestamp, cost: u64) -> u64 {
         let steps = now.since(since).as_micros() / self.steps[service].as_micros().max(1);
         u64::try_from(steps).unwrap_or(u64::MAX).min(cost)
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! A queue of events in virtual time. Events of the same moment come in the order of their making.
+//! A queue of events in virtual time. Events with equal times are returned in order of insertion.
 
 use mastbay_types::Timestamp;
 use std::cmp::Reverse;
@@ -36,31 +36,31 @@
     }
 }
 
-/// Events to come.
+/// Pending events, ordered by time.
 pub struct EventQueue<E> {
     entries: BinaryHeap<Entry<E>>,
-    made: u64,
+    pushed: u64,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Self { entries: BinaryHeap::new(), made: 0 }
+        Self { entries: BinaryHeap::new(), pushed: 0 }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event.
+    /// Adds an event at a time.
     pub fn push(&mut self, at: Timestamp, event: E) {
-        self.made += 1;
-        self.entries.push(Entry { at, number: self.made, event });
+        self.pushed += 1;
+        self.entries.push(Entry { at, number: self.pushed, event });
     }
 
-    /// When the next event comes.
+    /// Returns the time of the next event, or `None` if the queue is empty.
     pub fn next_at(&self) -> Option<Timestamp> {
         self.entries.peek().map(|entry| entry.at)
     }
 
-    /// Takes the next event.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Timestamp, E)> {
         self.entries.pop().map(|entry| (entry.at, entry.event))
     }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -3,59 +3,59 @@
 use mastbay_types::Timestamp;
 use std::time::Duration;
 
-/// A fault.
+/// A fault of a process or of the network.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// A machine's scheduler dies and starts anew, with empty state, after a while.
+    /// A machine's scheduler is killed and restarts with empty state.
     KillScheduler {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// Time until it starts again.
+        /// Time until it restarts.
         down: Duration,
     },
-    /// A machine's scheduler stands still and wakes.
+    /// A machine's scheduler freezes and resumes.
     FreezeScheduler {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// For how long.
+        /// Duration of the fault.
         span: Duration,
     },
-    /// A machine's gateway stands still and wakes; what runs for it goes on.
+    /// A machine's gateway freezes and resumes; its running requests continue.
     FreezeGateway {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// For how long.
+        /// Duration of the fault.
         span: Duration,
     },
-    /// Messages from some machines to the others are lost.
+    /// Some machines are partitioned: their messages to the others are lost.
     Cut {
-        /// Machines cut off.
+        /// Indices of the partitioned machines.
         machines: Vec<usize>,
         /// Whether messages to them are lost as well.
         both_ways: bool,
-        /// For how long.
+        /// Duration of the fault.
         span: Duration,
     },
-    /// Some share of all messages is lost.
+    /// A fraction of all messages is lost.
     Loss {
-        /// The share.
+        /// Probability that a message is lost, from 0 to 1.
         share: f64,
-        /// For how long.
+        /// Duration of the fault.
         span: Duration,
     },
 }
 
-/// A fault and its time.
+/// A fault scheduled at a time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TimedFault {
-    /// When it begins.
+    /// Start of the fault.
     pub at: Timestamp,
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// The same kind of fault again and again, on one machine after another.
-pub fn in_turn(
+/// Returns faults at regular intervals from `first` until `end`, on each machine in rotation.
+pub fn rotating_faults(
     machines: usize,
     first: Duration,
     period: Duration,
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::engines::RequestNumber;
 use crate::event_queue::EventQueue;
 use crate::faults::{Fault, TimedFault};
-use crate::network::{Network, Place};
+use crate::network::{Network, ProcessLocation};
 use crate::scenario::Scenario;
 use crate::world::{Decision, Dispatcher, Traffic, View};
 use mastbay_grants::{Cell, CellConfig, Demand, DemandConfig};
@@ -157,8 +157,8 @@
         }
     }
 
-    fn place(&self, process: usize) -> Place {
-        Place { process, machine: process % self.machines }
+    fn place(&self, process: usize) -> ProcessLocation {
+        ProcessLocation { process, machine: process % self.machines }
     }
 
     /// Handles all events until now.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,13 +1,13 @@
-//! The fleet in seeded virtual time: the same decision code as in production, driven by an event
-//! queue instead of sockets and clocks, with delay, loss, cuts, freezes and restarts. The same
-//! scenario and seed give the same figures to the last digit.
+//! Simulation of the fleet in seeded virtual time: the production decision code, driven by an event
+//! queue instead of sockets and clocks, with delays, loss, partitions, freezes and restarts. Runs
+//! with the same scenario and seed give identical results.
 //!
-//! - [`scenario`] reads scenario files; [`workload`] turns them into arrivals.
-//! - [`engines`] models back ends; [`world`] runs a dispatcher against them and measures.
-//! - [`fleet`] is our own dispatcher: gateways and schedulers that exchange messages over
-//!   [`network`]; [`baselines`] are the ways it is compared with.
-//! - [`router_fleet`] holds routers that decide alone against one that knows everything at once.
-//! - [`safety`] runs single requests through every fault at every step.
+//! - [`scenario`] reads scenario files; [`workload`] generates their arrivals.
+//! - [`engines`] models back ends; [`world`] runs a dispatcher against them and collects metrics.
+//! - [`fleet`] is the production dispatcher: gateways and schedulers that exchange messages over
+//!   [`network`]; [`baselines`] are the dispatchers that it is compared with.
+//! - [`router_fleet`] compares routers that decide independently with one that has complete state.
+//! - [`safety`] runs single requests with every fault at every step.
 
 pub mod baselines;
 pub mod engines;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,5 +1,5 @@
-//! Messages between processes in virtual time: delay by zone, order kept between each pair, loss and
-//! cuts, and a count of bytes.
+//! Messages between processes in virtual time: delay by zone, in-order delivery between each pair,
+//! loss, partitions, and counts of messages and bytes.
 
 use crate::world::Traffic;
 use mastbay_types::Timestamp;
@@ -9,20 +9,20 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Bytes that carry a message between processes: the envelope, and the heads of the HTTP request and
-/// of its answer. Production often shares them among several messages; here each pays in full.
-pub const CARRIER_BYTES: u64 = 260;
-/// Largest jitter, as a share of the delay.
-const JITTER: f64 = 0.2;
+/// Overhead of a message in bytes: the envelope and the heads of the HTTP request and response.
+/// Production often batches several messages into one request; the simulation does not.
+pub const MESSAGE_OVERHEAD_BYTES: u64 = 260;
+/// Maximum jitter as a fraction of the delay.
+const MAX_JITTER: f64 = 0.2;
 
-/// The network between machines.
+/// Delay, loss and partitions between machines, and the traffic so far.
 #[derive(Debug)]
 pub struct Network {
     zones: usize,
     delay: Duration,
     near_delay: Duration,
     random: ChaCha8Rng,
-    /// Latest arrival between each pair of processes, which a later message does not overtake.
+    /// Latest arrival between each pair of processes; later messages do not overtake it.
     latest: HashMap<(usize, usize), Timestamp>,
     cuts: Vec<ActiveCut>,
     loss: f64,
@@ -39,7 +39,7 @@
 }
 
 impl Network {
-    /// A network between `processes` processes on machines spread over `zones`.
+    /// Creates a network between `processes` processes on machines spread over `zones`.
     pub fn new(
         processes: usize,
         zones: usize,
@@ -61,32 +61,33 @@
         }
     }
 
-    /// Begins a cut.
+    /// Partitions machines from all others until a time. Unless `both_ways`, only messages that
+    /// they send are lost.
     pub fn cut(&mut self, machines: Vec<usize>, both_ways: bool, until: Timestamp) {
         self.cuts.push(ActiveCut { machines, both_ways, until });
     }
 
-    /// Begins to lose a share of all messages.
+    /// Drops a fraction of all messages at random until a time.
     pub fn lose(&mut self, share: f64, until: Timestamp) {
         self.loss = share;
         self.loss_until = until;
     }
 
-    /// Delay between two machines, without jitter.
+    /// Returns the delay between two machines, without jitter.
     pub fn delay_between(&self, from: usize, to: usize) -> Duration {
         if from % self.zones == to % self.zones { self.near_delay } else { self.delay }
     }
 
-    /// Sends a message of `bytes` between processes that stand on machines. Gives its arrival, or
-    /// `None` if it is lost.
+    /// Sends a message of `bytes` between two processes. Returns its time of arrival, or `None` if
+    /// it is lost.
     pub fn send(
         &mut self,
         now: Timestamp,
-        from: Place,
-        to: Place,
+        from: ProcessLocation,
+        to: ProcessLocation,
         bytes: u64,
     ) -> Option<Timestamp> {
-        let bytes = bytes + CARRIER_BYTES;
+        let bytes = bytes + MESSAGE_OVERHEAD_BYTES;
         if from.machine != to.machine {
             self.traffic.messages += 1;
             self.traffic.bytes += bytes;
@@ -97,7 +98,7 @@
             return None;
         }
         let delay = self.delay_between(from.machine, to.machine);
-        let jitter = 1.0 + JITTER * self.random.random::<f64>();
+        let jitter = 1.0 + MAX_JITTER * self.random.random::<f64>();
         let arrival = now + delay.mul_f64(jitter);
         let latest = self.latest.entry((from.process, to.process)).or_default();
         *latest = arrival.max(*latest);
@@ -115,18 +116,18 @@
         cut || dropped
     }
 
-    /// Messages and bytes so far. Those between processes of one machine do not count.
+    /// Returns the messages and bytes so far, except those between processes on the same machine.
     pub fn traffic(&self) -> Traffic {
         let busiest_bytes = self.by_process.iter().copied().max().unwrap_or(0);
         Traffic { busiest_bytes, ..self.traffic }
     }
 }
 
-/// A process and the machine that it stands on.
+/// A process and the machine that it runs on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
-    /// Number of the process.
+pub struct ProcessLocation {
+    /// Index of the process.
     pub process: usize,
-    /// Number of the machine.
+    /// Index of the machine.
     pub machine: usize,
 }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -119,7 +119,7 @@
             service: scenario.services[service].name.clone(),
             gap: gap.largest(),
             worst_pair: gap.worst().map(|pair| pair_name(scenario, pair)).unwrap_or_default(),
-            gap_99: gap.at_99(),
+            gap_99: gap.percentile_99(),
             gap_of_bound: gap.largest() / bound,
             utilisation: slots.utilisation(),
             stranded_seconds: slots.stranded,
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -1,4 +1,4 @@
-//! Arrivals of requests, the same for every dispatcher of one scenario and seed.
+//! Arrivals of requests, identical for every dispatcher under the same scenario and seed.
 
 use crate::scenario::{Arrivals, Scenario, TenantLoad};
 use mastbay_types::Timestamp;
@@ -8,26 +8,26 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use std::time::Duration;
 
-/// A request as it arrives.
+/// An arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrival {
     /// Index of the tenant.
     pub tenant: usize,
-    /// Machine whose gateway it arrives at.
+    /// Index of the machine whose gateway receives it.
     pub gateway: usize,
-    /// What it will turn out to cost.
+    /// Actual cost of the request, in cost units.
     pub cost: u64,
 }
 
-/// One tenant's source of requests. Each has a generator of its own, so that what a dispatcher does
-/// to one tenant does not change what another one asks for.
+/// One tenant's source of requests. Each has its own random number generator, so that dispatching
+/// one tenant's requests does not change those of another tenant.
 #[derive(Debug)]
 struct Source {
     random: ChaCha8Rng,
-    turn: usize,
+    next_gateway: usize,
 }
 
-/// The sources of all tenants.
+/// Request sources of all tenants.
 #[derive(Debug)]
 pub struct Workload {
     start: Timestamp,
@@ -36,26 +36,26 @@
 }
 
 impl Workload {
-    /// The load of a scenario under a seed.
+    /// Creates the workload of a scenario for a seed.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let sources = (0..scenario.tenants.len())
             .map(|index| {
                 let random = ChaCha8Rng::seed_from_u64(seed ^ (index as u64 + 1) << 32);
-                Source { random, turn: 0 }
+                Source { random, next_gateway: 0 }
             })
             .collect();
         let start = Timestamp::ZERO + scenario.load_start;
         Self { start, tenants: scenario.tenants.clone(), sources }
     }
 
-    /// The first arrivals of every tenant, with their times.
+    /// Returns the first arrivals of every tenant with their times.
     pub fn first(&mut self) -> Vec<(Timestamp, Arrival)> {
         let mut arrivals = Vec::new();
         for tenant in 0..self.tenants.len() {
             match self.tenants[tenant].arrivals {
                 Arrivals::Closed { callers } => {
                     for _ in 0..callers {
-                        // Spread over the first tenth of a second, so that not all start as one.
+                        // Spreads the callers over 100 ms to avoid simultaneous starts.
                         let micros = self.sources[tenant].random.random_range(0..100_000);
                         let at = self.start + Duration::from_micros(micros);
                         arrivals.push((at, self.draw(tenant)));
@@ -69,7 +69,7 @@
         arrivals
     }
 
-    /// The arrival that follows one of the same tenant at `now`, for open arrivals.
+    /// Returns the tenant's next arrival after one at `now`, or `None` for closed arrivals.
     pub fn after_arrival(&mut self, now: Timestamp, tenant: usize) -> Option<(Timestamp, Arrival)> {
         match self.tenants[tenant].arrivals {
             Arrivals::Closed { .. } => None,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The request that a caller sends once its last one has ended, for closed arrivals.
+    /// Returns the caller's next request after one has ended, or `None` for open arrivals.
     pub fn after_end(&mut self, tenant: usize) -> Option<Arrival> {
         match self.tenants[tenant].arrivals {
             Arrivals::Closed { .. } => Some(self.draw(tenant)),
@@ -111,13 +111,13 @@
                 .map_or(load.median_cost as f64, |cost| cost.sample(&mut source.random))
         };
         let cost = (cost.round() as u64).clamp(1, load.largest_cost);
-        let gateway = load.gateways[source.turn % load.gateways.len()];
-        source.turn += 1;
+        let gateway = load.gateways[source.next_gateway % load.gateways.len()];
+        source.next_gateway += 1;
         Arrival { tenant, gateway, cost }
     }
 }
 
-/// `at`, or the beginning of the next crowd if `at` falls between two.
+/// Returns `at`, or the start of the next crowd if `at` falls between two.
 fn within_crowd(at: Timestamp, on: Duration, off: Duration) -> Timestamp {
     let period = (on + off).as_micros() as u64;
     let into = at.as_micros() % period;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -257,7 +257,7 @@
 
     fn reach(&mut self, now: Timestamp, number: RequestNumber, engine: usize) {
         self.requests[number].engine = Some(engine);
-        if self.engines.offer(now, engine, number) {
+        if self.engines.submit(now, engine, number) {
             self.begin(now, number);
         } else {
             self.measured.queued_at_engine += 1;
--- a/crates/simulation/tests/figures.rs
+++ b/crates/simulation/tests/figures.rs
@@ -3,7 +3,7 @@
 
 use mastbay_grants::CellConfig;
 use mastbay_simulation::baselines::{EarlyBinding, GatewaysAlone, SingleQueue};
-use mastbay_simulation::faults::{Fault, TimedFault, in_turn};
+use mastbay_simulation::faults::{Fault, TimedFault, rotating_faults};
 use mastbay_simulation::fleet::{Fleet, FleetOptions};
 use mastbay_simulation::report::{Figures, split_allowance};
 use mastbay_simulation::scenario::Scenario;
@@ -46,24 +46,22 @@
 
 fn losing_schedulers(scenario: &Scenario) -> Vec<TimedFault> {
     let (first, period) = (Duration::from_secs(20), Duration::from_secs(8));
-    in_turn(scenario.machines, first, period, scenario.duration, |machine| Fault::KillScheduler {
-        machine,
-        down: Duration::from_secs(3),
+    rotating_faults(scenario.machines, first, period, scenario.duration, |machine| {
+        Fault::KillScheduler { machine, down: Duration::from_secs(3) }
     })
 }
 
 fn freezing(scenario: &Scenario) -> Vec<TimedFault> {
     let (first, period) = (Duration::from_secs(20), Duration::from_secs(7));
-    in_turn(scenario.machines, first, period, scenario.duration, |machine| Fault::FreezeScheduler {
-        machine,
-        span: Duration::from_secs(2),
+    rotating_faults(scenario.machines, first, period, scenario.duration, |machine| {
+        Fault::FreezeScheduler { machine, span: Duration::from_secs(2) }
     })
 }
 
 fn cutting(scenario: &Scenario) -> Vec<TimedFault> {
     let (first, period) = (Duration::from_secs(20), Duration::from_secs(12));
     let machines = scenario.machines;
-    in_turn(machines, first, period, scenario.duration, |machine| Fault::Cut {
+    rotating_faults(machines, first, period, scenario.duration, |machine| Fault::Cut {
         machines: vec![machine, (machine + 1) % machines],
         both_ways: machine % 2 == 0,
         span: Duration::from_secs(4),
@@ -72,7 +70,7 @@
 
 fn losing_messages(scenario: &Scenario) -> Vec<TimedFault> {
     let (first, period) = (Duration::from_secs(15), Duration::from_secs(10));
-    in_turn(scenario.machines, first, period, scenario.duration, |_| Fault::Loss {
+    rotating_faults(scenario.machines, first, period, scenario.duration, |_| Fault::Loss {
         share: 0.05,
         span: Duration::from_secs(10),
     })
