--- a/crates/simulation/src/bin/mastbay-router-fleet.rs
+++ b/crates/simulation/src/bin/mastbay-router-fleet.rs
@@ -1,6 +1,6 @@
-//! Holds fleets of routers that decide alone against one router that knows everything at once.
+//! `mastbay-router-fleet`: compares fleets of independent routers with a single router.
 
-use mastbay_simulation::router_fleet::{RouterFleet, play_router_fleet};
+use mastbay_simulation::router_fleet::{RouterFleet, simulate_router_fleet};
 use std::time::Duration;
 
 /// Prints a line for each load and size of fleet.
@@ -17,7 +17,7 @@
     seed: u64,
 }
 
-/// Engines for each of the loads, and requests a second that one engine is asked for.
+/// Number of engines, and the loads in requests per second and engine.
 const ENGINES: usize = 24;
 const LOADS: [f64; 3] = [10.0, 20.0, 30.0];
 
@@ -26,7 +26,7 @@
     println!("requests/s  routers  in time  late  refused  read again, k  most at an engine");
     for load in LOADS {
         for routers in arguments.routers.split(',').filter_map(|text| text.trim().parse().ok()) {
-            let report = play_router_fleet(RouterFleet {
+            let report = simulate_router_fleet(RouterFleet {
                 routers,
                 engines: ENGINES,
                 slots: 48,
@@ -37,11 +37,11 @@
             println!(
                 "{:10.0}  {routers:7}  {:7.3}  {:4}  {:7}  {:13}  {:17}",
                 load * ENGINES as f64,
-                report.in_time_share(),
+                report.in_time_fraction(),
                 report.late,
                 report.refused,
-                report.read_again_thousands,
-                report.most_at_engine,
+                report.repeated_prefill_thousands,
+                report.max_at_engine,
             );
         }
     }
--- a/crates/simulation/src/router_fleet.rs
+++ b/crates/simulation/src/router_fleet.rs
@@ -1,6 +1,6 @@
-//! Routers that decide alone, before engines that read prompts in order and keep what they read, in seeded
-//! virtual time. One router with all the traffic knows everything at once: it is what a fleet is held
-//! against.
+//! Simulation of independent routers in seeded virtual time. Engines prefill prompts in order of
+//! arrival and cache all prompt parts. A single router, which always has complete state, is the
+//! baseline for a fleet.
 
 use mastbay_routing::{
     Admission, AllowedRegions, BackEnd, BackEndId, BackEndList, BackEndState, BudgetLimits, Demand,
@@ -17,67 +17,66 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RouterFleet {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Requests that an engine runs at once.
+    /// Maximum number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Requests a second, over the whole fleet.
+    /// Mean arrival rate of the whole fleet, in requests per second.
     pub requests_per_second: f64,
-    /// Time during which requests come.
+    /// Simulated time.
     pub length: Duration,
-    /// Seed of all chance.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct RouterFleetReport {
-    /// Requests that came.
+    /// Number of requests that arrived.
     pub requests: u32,
-    /// Requests whose first event came within the objective.
+    /// Requests whose first event is within the objective.
     pub in_time: u32,
-    /// Requests whose first event came later.
+    /// Requests whose first event is later than the objective.
     pub late: u32,
     /// Requests that were refused.
     pub refused: u32,
-    /// Shared prompt tokens that were read though an engine held them, in thousands.
-    pub read_again_thousands: u64,
-    /// Most requests at one engine at a time.
-    pub most_at_engine: u32,
+    /// Shared prompt tokens, in thousands, prefilled again after some engine had prefilled them.
+    pub repeated_prefill_thousands: u64,
+    /// Maximum number of concurrent requests at one engine.
+    pub max_at_engine: u32,
 }
 
 impl RouterFleetReport {
-    /// Part of the requests whose first event came in time.
-    pub fn in_time_share(&self) -> f64 {
+    /// Returns the fraction of requests whose first event is within the objective.
+    pub fn in_time_fraction(&self) -> f64 {
         f64::from(self.in_time) / f64::from(self.requests.max(1))
     }
 }
 
 const SERVICE: &str = "model";
 const OBJECTIVE: Duration = Duration::from_millis(400);
-/// Prompt tokens that an engine reads in a millisecond.
-const PACE: f64 = 100.0;
-/// Time from a prompt's end to its first event.
+const PREFILL_TOKENS_PER_MILLISECOND: f64 = 100.0;
+/// Time from the end of prefill to the first event.
 const FIRST_STEP: Duration = Duration::from_millis(30);
 /// Time from the first event to the last.
 const GENERATION: Duration = Duration::from_millis(1_500);
-/// Prefixes that requests share, and the tokens of one.
+/// Number of shared prefixes, and the tokens of each.
 const PREFIXES: u64 = 600;
 const PREFIX_TOKENS: u32 = 1_400;
-/// Tokens of a request's own part, from and to.
+/// Range of tokens in the unshared part of a request; the end is exclusive.
 const OWN_TOKENS: (u32, u32) = (300, 5_000);
-/// Time between digests of a router with up to ten peers, as the router has it.
-const DIGEST_PERIOD: Duration = Duration::from_millis(80);
+/// Interval between digests of a router with up to `PEERS_AT_FULL_RATE` peers, as in production.
+const DIGEST_INTERVAL: Duration = Duration::from_millis(80);
 const PEERS_AT_FULL_RATE: f64 = 10.0;
-/// Time for a datagram.
-const DATAGRAM_TIME: Duration = Duration::from_millis(2);
-/// Time between two looks at those that wait.
-const POLL_PERIOD: Duration = Duration::from_millis(8);
+/// One-way delay of a datagram.
+const DATAGRAM_DELAY: Duration = Duration::from_millis(2);
+/// Interval between polls of waiting requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(8);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -90,14 +89,15 @@
 
 #[derive(Debug, Default)]
 struct SimulatedEngine {
-    reads_until: Timestamp,
+    prefill_until: Timestamp,
     ends: BinaryHeap<Reverse<Timestamp>>,
-    held: HashSet<u64>,
+    cached_parts: HashSet<u64>,
 }
 
 impl SimulatedEngine {
-    /// The first event's time of a request that reaches it now, and the shared tokens that it reads.
-    fn take(&mut self, now: Timestamp, slots: u32, prompt: &Prompt) -> (Timestamp, u32) {
+    /// Accepts a request at `now`. Returns the time of its first event and the number of shared
+    /// tokens that it prefills.
+    fn submit(&mut self, now: Timestamp, slots: u32, prompt: &Prompt) -> (Timestamp, u32) {
         while self.ends.peek().is_some_and(|Reverse(end)| *end <= now) {
             self.ends.pop();
         }
@@ -106,16 +106,17 @@
         } else {
             now
         };
-        let unread: Vec<PromptPart> =
-            prompt.parts.iter().copied().filter(|part| self.held.insert(part.id)).collect();
-        let tokens: u32 = unread.iter().map(|part| part.tokens).sum();
-        let reading = Duration::from_secs_f64(f64::from(tokens) / PACE / 1e3);
-        self.reads_until = self.reads_until.max(begins) + reading;
-        let first = self.reads_until + FIRST_STEP;
+        let uncached: Vec<PromptPart> =
+            prompt.parts.iter().copied().filter(|part| self.cached_parts.insert(part.id)).collect();
+        let tokens: u32 = uncached.iter().map(|part| part.tokens).sum();
+        let prefill_time =
+            Duration::from_secs_f64(f64::from(tokens) / PREFILL_TOKENS_PER_MILLISECOND / 1e3);
+        self.prefill_until = self.prefill_until.max(begins) + prefill_time;
+        let first = self.prefill_until + FIRST_STEP;
         self.ends.push(Reverse(first + GENERATION));
         let shared = prompt.parts.len().saturating_sub(1);
         let own = prompt.parts[shared..].iter().map(|part| part.id).collect::<HashSet<_>>();
-        let shared = unread.iter().filter(|part| !own.contains(&part.id));
+        let shared = uncached.iter().filter(|part| !own.contains(&part.id));
         (first, shared.map(|part| part.tokens).sum())
     }
 }
@@ -129,18 +130,18 @@
     dispatchers: Vec<Dispatcher>,
     engines: BTreeMap<BackEndId, SimulatedEngine>,
     waiting: BTreeMap<(usize, TicketId), Demand>,
-    read_once: HashSet<u64>,
+    prefilled: HashSet<u64>,
     report: RouterFleetReport,
 }
 
-/// Plays a scenario to its end.
-pub fn play_router_fleet(scenario: RouterFleet) -> RouterFleetReport {
+/// Runs a simulation to its end.
+pub fn simulate_router_fleet(scenario: RouterFleet) -> RouterFleetReport {
     let mut world = World::new(scenario);
     world.schedule(Duration::ZERO, Event::Arrival);
     for router in 0..scenario.routers {
         let phase = world.random.random_range(0.0..1.0);
-        world.schedule(DIGEST_PERIOD.mul_f64(phase), Event::SendDigest(router));
-        world.schedule(POLL_PERIOD.mul_f64(phase), Event::Poll(router));
+        world.schedule(DIGEST_INTERVAL.mul_f64(phase), Event::SendDigest(router));
+        world.schedule(POLL_INTERVAL.mul_f64(phase), Event::Poll(router));
     }
     let last = Timestamp::ZERO + scenario.length;
     while let Some(Reverse((time, _, event))) = world.queue.pop() {
@@ -170,7 +171,7 @@
             dispatchers,
             engines,
             waiting: BTreeMap::new(),
-            read_once: HashSet::new(),
+            prefilled: HashSet::new(),
             report: RouterFleetReport::default(),
         }
     }
@@ -189,7 +190,7 @@
             Event::Arrival => self.on_arrival(),
             Event::Poll(router) => {
                 self.poll(router);
-                self.schedule(POLL_PERIOD, Event::Poll(router));
+                self.schedule(POLL_INTERVAL, Event::Poll(router));
             }
             Event::SendDigest(router) => self.send_digest(router),
             Event::Begin(router, ticket) => {
@@ -219,7 +220,7 @@
     }
 
     fn demand(&mut self) -> Demand {
-        // Some prefixes are asked for far more often than others.
+        // The distribution of prefixes is skewed towards low numbers.
         let skewed = self.random.random::<f64>().powi(2);
         let prefix = (skewed * PREFIXES as f64) as u64;
         let own = self.random.random_range(OWN_TOKENS.0..OWN_TOKENS.1);
@@ -251,9 +252,9 @@
 
     fn poll(&mut self, router: usize) {
         let draw = self.random.random();
-        for (ticket, verdict) in self.dispatchers[router].poll(self.now, draw) {
+        for (ticket, result) in self.dispatchers[router].poll(self.now, draw) {
             let Some(demand) = self.waiting.remove(&(router, ticket)) else { continue };
-            match verdict {
+            match result {
                 Ok(placement) => self.send(router, &demand, &placement),
                 Err(_) => self.report.refused += 1,
             }
@@ -263,11 +264,11 @@
     fn send(&mut self, router: usize, demand: &Demand, placement: &Placement) {
         let Some(prompt) = &demand.prompt else { return };
         let Some(engine) = self.engines.get_mut(&placement.back_end.id) else { return };
-        let (first, shared) = engine.take(self.now, self.scenario.slots, prompt);
-        self.report.most_at_engine = self.report.most_at_engine.max(engine.ends.len() as u32);
-        let is_first_read = prompt.prefix_key().is_none_or(|key| self.read_once.insert(key));
-        if !is_first_read {
-            self.report.read_again_thousands += u64::from(shared) / 1_000;
+        let (first, shared) = engine.submit(self.now, self.scenario.slots, prompt);
+        self.report.max_at_engine = self.report.max_at_engine.max(engine.ends.len() as u32);
+        let is_first_prefill = prompt.prefix_key().is_none_or(|key| self.prefilled.insert(key));
+        if !is_first_prefill {
+            self.report.repeated_prefill_thousands += u64::from(shared) / 1_000;
         }
         if first.since(demand.arrived) <= OBJECTIVE {
             self.report.in_time += 1;
@@ -281,15 +282,15 @@
     fn send_digest(&mut self, router: usize) {
         self.dispatchers[router].expire_peers(self.now);
         let digest = self.dispatchers[router].digest(self.now, RouterPhase::Serving);
-        let heard = self.now + DATAGRAM_TIME;
+        let received = self.now + DATAGRAM_DELAY;
         for (index, peer) in self.dispatchers.iter_mut().enumerate() {
             if index != router {
-                peer.on_digest(heard, digest.clone());
+                peer.on_digest(received, digest.clone());
             }
         }
         let peers = self.scenario.routers as f64 - 1.0;
         let factor = (peers / PEERS_AT_FULL_RATE).max(1.0);
-        self.schedule(DIGEST_PERIOD.mul_f64(factor), Event::SendDigest(router));
+        self.schedule(DIGEST_INTERVAL.mul_f64(factor), Event::SendDigest(router));
     }
 }
 
