--- a/crates/simulation/src/bin/mastbay-fault-matrix.rs
+++ b/crates/simulation/src/bin/mastbay-fault-matrix.rs
@@ -3,11 +3,11 @@
 use argh::FromArgs;
 use mastbay_simulation::safety::{Mutation, PROMISES, detecting_cells, markdown, run_matrix};
 
-/// Tries every trouble at every step of a request in seeded virtual time and prints the matrix, and
-/// in how many cells each deliberate mutation of the code is found.
+/// Injects every fault at every step of a request in seeded virtual time and prints the matrix, and
+/// the number of cells that detect each mutation of the code.
 #[derive(FromArgs)]
 struct Arguments {
-    /// tries of each cell (default 20)
+    /// runs of each cell (default 20)
     #[argh(option, default = "20")]
     seeds: u64,
 }
--- a/crates/simulation/src/bin/mastbay-router-fleet.rs
+++ b/crates/simulation/src/bin/mastbay-router-fleet.rs
@@ -6,13 +6,13 @@
 /// Prints a line for each load and size of fleet.
 #[derive(argh::FromArgs)]
 struct Arguments {
-    /// sizes of fleets, joined by commas (1,7,60)
+    /// comma-separated fleet sizes (1,7,60)
     #[argh(option, default = "String::from(\"1,7,60\")")]
     routers: String,
     /// seconds of traffic (12)
     #[argh(option, default = "12")]
     seconds: u64,
-    /// seed of all chance (1)
+    /// seed of the random number generator (1)
     #[argh(option, default = "1")]
     seed: u64,
 }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,74 +1,74 @@
-//! Figures of a run, as a table and as JSON.
+//! Reports of runs, as a table or as JSON.
 
 use crate::scenario::Scenario;
 use crate::world::Measurements;
 use serde::Serialize;
 use std::fmt::Write;
 
-/// Figures of one dispatcher in one scenario.
+/// Results of one dispatcher in one scenario.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Figures {
-    /// The dispatcher.
+pub struct DispatcherReport {
+    /// Label of the dispatcher.
     pub dispatcher: String,
-    /// Figures of each service.
-    pub services: Vec<ServiceFigures>,
-    /// Figures of each tenant.
-    pub tenants: Vec<TenantFigures>,
+    /// Results by service.
+    pub services: Vec<ServiceReport>,
+    /// Results by tenant.
+    pub tenants: Vec<TenantReport>,
     /// Longest wait of the tenant with the fewest requests, in seconds.
     pub longest_small_wait: f64,
-    /// Wait that 95 in 100 requests do not exceed, in seconds.
+    /// 95th percentile of the wait, in seconds.
     pub wait_95: f64,
-    /// Time from arrival to the first token or cost unit at the engine that 95 in 100 requests do
-    /// not exceed, in seconds.
+    /// 95th percentile of the time from arrival to the first token or cost unit at the engine, in
+    /// seconds.
     pub first_unit_95: f64,
-    /// Requests that ended.
+    /// Number of requests that ended.
     pub ended: u64,
-    /// Requests sent to an engine that had no free slot.
+    /// Number of requests sent to an engine without a free slot.
     pub queued_at_engine: u64,
-    /// Control messages for each request.
+    /// Control messages per ended request.
     pub messages_per_request: f64,
-    /// Control bytes for each request.
+    /// Control bytes per ended request.
     pub bytes_per_request: f64,
-    /// Control bytes a second of the busiest process, sent and received.
+    /// Control bytes per second that the busiest process sends and receives.
     pub busiest_bytes_per_second: f64,
 }
 
-/// Figures of one tenant.
+/// Results of one tenant.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct TenantFigures {
-    /// The tenant.
+pub struct TenantReport {
+    /// Name of the tenant.
     pub tenant: String,
     /// Service delivered over weight, in cost units.
     pub delivered: f64,
-    /// Requests that began to run.
+    /// Number of requests that began to run after the warm-up.
     pub requests: u64,
-    /// Wait that half of them did not exceed, in seconds.
+    /// Median wait, in seconds.
     pub wait_50: f64,
     /// Longest wait, in seconds.
     pub longest_wait: f64,
 }
 
-/// Figures of one service.
+/// Results of one service.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct ServiceFigures {
-    /// The service.
+pub struct ServiceReport {
+    /// Name of the service.
     pub service: String,
-    /// Largest service gap of two tenants backlogged together, in cost units over weight.
+    /// Largest service gap of two tenants that are backlogged together, in cost units over weight.
     pub gap: f64,
-    /// The two tenants between which it was.
+    /// Names of the two tenants with the largest gap; empty if there is none.
     pub worst_pair: String,
-    /// The gap that 99 in 100 samples do not exceed.
+    /// 99th percentile of the gap, in cost units over weight.
     pub gap_99: f64,
-    /// The largest gap as a share of the bound.
+    /// Largest gap as a fraction of [`gap_bound`].
     pub gap_of_bound: f64,
-    /// Share of slot time used, of that which waiting work could have used.
+    /// Used fraction of the slot time that waiting work could use.
     pub utilisation: f64,
-    /// Slot seconds that were free while work waited that could have used them.
+    /// Slot seconds left idle that waiting work could have used.
     pub stranded_seconds: f64,
 }
 
-impl Figures {
-    /// The figures of a run.
+impl DispatcherReport {
+    /// Creates the report of a run.
     pub fn new(dispatcher: &str, scenario: &Scenario, measured: &Measurements) -> Self {
         let smallest = measured
             .waits
@@ -79,10 +79,10 @@
         Self {
             dispatcher: dispatcher.to_owned(),
             services: (0..scenario.services.len())
-                .map(|service| ServiceFigures::new(scenario, measured, service))
+                .map(|service| ServiceReport::new(scenario, measured, service))
                 .collect(),
             tenants: (0..scenario.tenants.len())
-                .map(|tenant| TenantFigures::new(scenario, measured, tenant))
+                .map(|tenant| TenantReport::new(scenario, measured, tenant))
                 .collect(),
             longest_small_wait: smallest.map_or(0.0, |waits| waits.longest()),
             wait_95: measured.all_waits.quantile(0.95),
@@ -97,7 +97,7 @@
     }
 }
 
-impl TenantFigures {
+impl TenantReport {
     fn new(scenario: &Scenario, measured: &Measurements, tenant: usize) -> Self {
         let load = &scenario.tenants[tenant];
         let waits = &measured.waits[tenant];
@@ -111,7 +111,7 @@
     }
 }
 
-impl ServiceFigures {
+impl ServiceReport {
     fn new(scenario: &Scenario, measured: &Measurements, service: usize) -> Self {
         let (gap, slots) = (&measured.gaps[service], &measured.slots[service]);
         let bound = gap_bound(scenario, service, measured.largest_costs[service]);
@@ -131,13 +131,14 @@
     format!("{} / {}", scenario.tenants[left].name, scenario.tenants[right].name)
 }
 
-/// Time in which what a scheduler knows may be out of date: the interval of reports on cost, a
-/// message each way, and the time in which a lost scheduler is replaced.
+/// Maximum age of a scheduler's state in seconds: the interval of cost reports, a message each way,
+/// and the time to replace a lost scheduler.
 const STALENESS_SECONDS: f64 = 0.1 + 0.004 + 0.6;
 
-/// The bound on a service's gap, in cost units over weight: `(2 S L + 2 R C) / w`, with `S` the slots
-/// of the cell, `L` the largest cost of a request, `w` the least weight, `R` the time in which
-/// knowledge may be out of date and `C` the service that all slots give in a second.
+/// Returns the bound on a service's gap, in cost units over weight: `(2 S L + 2 R C) / w`, with `S`
+/// the slots of the cell, `L` the largest cost of a request, `w` the smallest weight, `R` the
+/// maximum age of a scheduler's state in seconds and `C` the service that all slots deliver per
+/// second.
 pub fn gap_bound(scenario: &Scenario, service: usize, largest_cost: u64) -> f64 {
     let of_service = scenario.tenants.iter().filter(|tenant| tenant.service == service);
     let weight = of_service.map(|tenant| tenant.weight).min().unwrap_or(1);
@@ -146,25 +147,25 @@
     (2.0 * slots * largest_cost as f64 + 2.0 * STALENESS_SECONDS * rate) / f64::from(weight)
 }
 
-/// What a split of the fleet adds to the bound: while it lasts, and until schedulers have found it and
-/// its end, each side schedules for itself, so `2 T C / w` for `T` seconds.
+/// Returns what a network partition adds to the bound: `2 T C` cost units, with `T` the `seconds`
+/// for which each side schedules independently, until the schedulers have detected its end.
 pub fn split_allowance(scenario: &Scenario, service: usize, seconds: f64) -> f64 {
     let slots = f64::from(scenario.slots(service));
     2.0 * seconds * slots / scenario.services[service].step.as_secs_f64()
 }
 
-/// Figures side by side, with ratios to the first dispatcher's, which is the ideal one.
-pub fn table(figures: &[Figures]) -> String {
+/// Formats reports as a table, with ratios to the first, which is that of the ideal dispatcher.
+pub fn table(reports: &[DispatcherReport]) -> String {
     let mut text = String::new();
     let mut line = |content: std::fmt::Arguments<'_>| {
         // Writing to a string cannot fail.
         let _ = writeln!(text, "{content}");
     };
-    let ideal = &figures[0];
-    for (index, of_ideal) in ideal.services.iter().enumerate() {
+    let ideal = &reports[0];
+    for (index, ideal_service) in ideal.services.iter().enumerate() {
         line(format_args!(
             "{:<26} {:>9} {:>6} {:>9} {:>8} {:>7} {:>6} {:>9}  {}",
-            format!("service {}", of_ideal.service),
+            format!("service {}", ideal_service.service),
             "gap",
             "ratio",
             "gap p99",
@@ -174,17 +175,17 @@
             "stranded",
             "worst pair",
         ));
-        for one in figures {
-            let service = &one.services[index];
+        for report in reports {
+            let service = &report.services[index];
             line(format_args!(
                 "{:<26} {:>9.0} {:>6.2} {:>9.0} {:>8.4} {:>7.4} {:>6.3} {:>9.2}  {}",
-                one.dispatcher,
+                report.dispatcher,
                 service.gap,
-                service.gap / of_ideal.gap,
+                service.gap / ideal_service.gap,
                 service.gap_99,
                 service.gap_of_bound,
                 service.utilisation,
-                service.utilisation / of_ideal.utilisation,
+                service.utilisation / ideal_service.utilisation,
                 service.stranded_seconds,
                 service.worst_pair,
             ));
@@ -202,28 +203,28 @@
         "B/req",
         "B/s busy",
     ));
-    for one in figures {
+    for report in reports {
         line(format_args!(
             "{:<26} {:>8.3} {:>8.3} {:>8.3} {:>8} {:>8} {:>8.2} {:>8.0} {:>9.0}",
-            one.dispatcher,
-            one.longest_small_wait,
-            one.wait_95,
-            one.first_unit_95,
-            one.ended,
-            one.queued_at_engine,
-            one.messages_per_request,
-            one.bytes_per_request,
-            one.busiest_bytes_per_second,
+            report.dispatcher,
+            report.longest_small_wait,
+            report.wait_95,
+            report.first_unit_95,
+            report.ended,
+            report.queued_at_engine,
+            report.messages_per_request,
+            report.bytes_per_request,
+            report.busiest_bytes_per_second,
         ));
     }
     line(format_args!(
         "{:<26} {:>24} {:>24}",
         "tenants: service, longest wait",
         ideal.dispatcher,
-        figures.get(1).map_or("", |one| &one.dispatcher),
+        reports.get(1).map_or("", |report| &report.dispatcher),
     ));
     for (index, tenant) in ideal.tenants.iter().enumerate() {
-        let other = figures.get(1).map_or(tenant, |one| &one.tenants[index]);
+        let other = reports.get(1).map_or(tenant, |report| &report.tenants[index]);
         line(format_args!(
             "{:<30} {:>11.0} {:>8.3} {:>15.0} {:>8.3}",
             tenant.tenant,
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: a fleet, its services and its tenants' load, in INI form.
+//! Scenario files in INI format: a fleet, its services and the load of its tenants.
 
 use derive_more::{Display, Error};
 use mastbay_settings::{
@@ -10,98 +10,98 @@
 /// A fleet and its load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scenario {
-    /// Machines, each with a gateway and a scheduler, spread over the zones in turn.
+    /// Number of machines, each with a gateway and a scheduler, assigned to zones in rotation.
     pub machines: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
     /// One-way delay between zones.
     pub delay: Duration,
     /// One-way delay within a zone.
     pub near_delay: Duration,
-    /// Time simulated.
+    /// Simulated time.
     pub duration: Duration,
-    /// Time before the first arrivals, in which the fleet finds itself.
+    /// Time before the first arrivals, in which the membership converges.
     pub load_start: Duration,
-    /// Time at the beginning that is not measured.
+    /// Time at the beginning that the metrics exclude.
     pub warm_up: Duration,
-    /// The services.
+    /// Services and their back ends.
     pub services: Vec<ServiceLoad>,
-    /// The tenants.
+    /// Tenants and their load.
     pub tenants: Vec<TenantLoad>,
 }
 
 /// A service's back ends.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceLoad {
-    /// Its name.
+    /// Unique name.
     pub name: String,
-    /// Back ends.
+    /// Number of back ends.
     pub engines: usize,
-    /// Requests that each runs at a time.
+    /// Concurrent requests per back end.
     pub slots: u32,
-    /// Time for one cost unit: a token's step, or a millisecond of a plain service.
+    /// Time for one cost unit: a decoding step of a model, or a millisecond of a plain service.
     pub step: Duration,
-    /// Grants beyond the slots; `None` if they are learned.
+    /// Grants beyond the slots; `None` if the number is learned.
     pub ahead: Option<u32>,
 }
 
 /// A tenant's load on one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TenantLoad {
-    /// Its name.
+    /// Unique name.
     pub name: String,
-    /// Its weight.
+    /// Weight in fair scheduling.
     pub weight: u32,
-    /// Index of its service.
+    /// Index of the service that it uses.
     pub service: usize,
-    /// Machines whose gateways its callers use.
+    /// Indices of the machines whose gateways its callers use.
     pub gateways: Vec<usize>,
-    /// How its requests arrive.
+    /// Arrival process of the requests.
     pub arrivals: Arrivals,
-    /// Cost of half of its requests, in cost units.
+    /// Median cost of the requests, in cost units.
     pub median_cost: u64,
-    /// Spread of the logarithm of the cost; 0 for a fixed cost.
+    /// Standard deviation of the natural logarithm of the cost; 0 for a fixed cost.
     pub cost_spread: f64,
-    /// Largest cost.
+    /// Maximum cost of a request, in cost units.
     pub largest_cost: u64,
 }
 
-/// How requests arrive.
+/// Arrival process of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Arrivals {
-    /// A number of callers, each with one request at a time.
+    /// Closed loop: a fixed number of callers, each with one request at a time.
     Closed {
-        /// The callers.
+        /// Number of callers.
         callers: u32,
     },
-    /// At random, with a mean rate.
+    /// Open loop: Poisson arrivals.
     Open {
-        /// Requests a second.
+        /// Mean rate in requests per second.
         rate: f64,
     },
-    /// At random during crowds only.
+    /// Open loop: Poisson arrivals during periodic crowds only.
     Crowds {
-        /// Requests a second during a crowd.
+        /// Mean rate during a crowd, in requests per second.
         rate: f64,
-        /// Length of a crowd.
+        /// Duration of a crowd.
         on: Duration,
         /// Time between crowds.
         off: Duration,
     },
 }
 
-/// Why a scenario cannot be read.
+/// Error of reading a scenario.
 #[derive(Debug, Display, Error)]
 pub enum ScenarioError {
     /// The file cannot be read.
     #[display("{_0}")]
     File(LoadError),
-    /// The file has faults.
+    /// The contents are invalid.
     #[display("{_0}")]
     Faults(Faults),
 }
 
-/// A decimal number that is not negative.
+/// A finite, non-negative decimal number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Decimal(f64);
 
@@ -126,7 +126,7 @@
         Self::read(&document)
     }
 
-    /// Reads a scenario.
+    /// Parses a scenario and reports all invalid settings together.
     pub fn read(document: &Document) -> Result<Self, ScenarioError> {
         let mut faults = Faults::default();
         let fleet = read_fleet(document, &mut faults);
@@ -154,7 +154,7 @@
         faults.into_result(scenario).map_err(ScenarioError::Faults)
     }
 
-    /// Slots of a service.
+    /// Returns the total number of slots of a service.
     pub fn slots(&self, service: usize) -> u32 {
         self.services[service].engines as u32 * self.services[service].slots
     }
