--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,15 @@
-//! Which processes of the fleet are there: direct and indirect probes at a constant rate, suspicion
-//! before death, refutation by incarnation, and news carried on the probes themselves (the SWIM
-//! family of protocols).
+//! SWIM group membership: direct and indirect probes at a constant rate, suspicion before death,
+//! refutation by incarnation, and membership updates piggybacked on probes.
 //!
-//! The state machine is pure: it is told the time, incoming packets and a source of randomness, and
-//! returns packets to send.
+//! The state machine performs no I/O: callers pass in the time, received packets and a source of
+//! randomness, and send the packets it returns.
 
 mod member;
-mod news;
+mod update_buffer;
 mod view;
 
 pub use member::{Epoch, Member, MemberState, Role};
-pub use news::NewsBuffer;
+pub use update_buffer::UpdateBuffer;
 pub use view::{Membership, MembershipConfig, Packet, Transmit};
 
 #[cfg(test)]
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,20 +1,20 @@
-//! One member as others know it.
+//! A member of the fleet and the version of what is known about it.
 
 use mastbay_types::{Incarnation, ProcessId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a process does in the fleet.
+/// The role of a process in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Holds callers' connections.
+    /// Accepts callers' connections.
     Gateway,
-    /// Hands out back-end slots, watches the configuration, keeps claims.
+    /// Grants back-end slots, watches the configuration and stores claims.
     Scheduler,
 }
 
 impl Role {
-    /// The role's name in logs and answers.
+    /// Returns the role's name in logs and answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Role::Gateway => "gateway",
@@ -23,47 +23,47 @@
     }
 }
 
-/// How far a member is believed to be there. The order is that of precedence within one epoch.
+/// The believed state of a member. Within one epoch a later variant takes precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// Answers probes.
     Alive,
-    /// Missed a probe, directly and through others.
+    /// Answered neither a direct probe nor the indirect ones.
     Suspect,
-    /// Said that it stops; still answers.
+    /// Announced that it is shutting down; still answers probes.
     Leaving,
-    /// Suspected for too long, or gone.
+    /// Did not refute a suspicion in time.
     Dead,
 }
 
-/// Version of what is said about a member: its life, then how often it refuted a suspicion.
+/// Version of the state of a member, ordered by incarnation, then by refutation count.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Epoch {
-    /// The life of the process.
+    /// Incarnation of the process, which changes when it restarts.
     pub incarnation: Incarnation,
-    /// Refutations within that life. Only the member itself raises it.
+    /// Number of refutations within the incarnation. Only the member itself increments it.
     pub refutation: u32,
 }
 
-/// One member, as carried in packets.
+/// A member's state at one epoch, as sent in packets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The process, by its peer address.
+    /// The process, identified by its peer address.
     pub process: ProcessId,
-    /// Its role.
+    /// Role of the process.
     pub role: Role,
-    /// Its zone.
+    /// Zone in which the process runs.
     pub zone: Arc<str>,
-    /// Version of this statement.
+    /// Version of this update.
     pub epoch: Epoch,
-    /// The state believed.
+    /// State at that version, as believed by the sender.
     pub state: MemberState,
 }
 
 impl Member {
-    /// Whether this statement replaces `known`.
+    /// Returns whether this update is newer than `known`.
     pub fn supersedes(&self, known: &Member) -> bool {
         (self.epoch, self.state) > (known.epoch, known.state)
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,7 +1,7 @@
 //! The membership state machine of one process.
 
 use crate::member::{Epoch, Member, MemberState, Role};
-use crate::news::NewsBuffer;
+use crate::update_buffer::UpdateBuffer;
 use mastbay_types::{Incarnation, ProcessId, Timestamp};
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
@@ -9,22 +9,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Settings of [`Membership`].
+/// Timing and fan-out of a [`Membership`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MembershipConfig {
-    /// Time between two probes of this process.
+    /// Interval between probes sent by this process.
     pub probe_interval: Duration,
-    /// Time for a direct answer before others are asked to probe.
+    /// Time to wait for a direct ack before sending indirect probes.
     pub direct_timeout: Duration,
-    /// Members asked to probe in our place.
+    /// Number of members asked to probe an unresponsive target.
     pub indirect_probes: usize,
-    /// Time a suspect has to refute.
+    /// Time that a suspect has to refute before it is declared dead.
     pub suspicion: Duration,
-    /// Most members mentioned in one packet.
-    pub news_per_packet: usize,
-    /// Time between attempts to reach a seed or a member held dead, which heals a cut.
+    /// Maximum number of queued updates in one packet.
+    pub updates_per_packet: usize,
+    /// Interval between attempts to reach an unknown seed or a dead member, which heals partitions.
     pub rejoin_interval: Duration,
-    /// How long a dead member is remembered.
+    /// Time for which a dead member is kept in the view.
     pub dead_retention: Duration,
 }
 
@@ -35,81 +35,81 @@
             direct_timeout: Duration::from_millis(80),
             indirect_probes: 2,
             suspicion: Duration::from_millis(800),
-            news_per_packet: 8,
+            updates_per_packet: 8,
             rejoin_interval: Duration::from_secs(1),
             dead_retention: Duration::from_secs(120),
         }
     }
 }
 
-/// Mentions of one piece of news per doubling of the fleet.
-const MENTIONS_PER_DOUBLING: u32 = 3;
-/// A gap between timeouts longer than this many probe intervals was a pause of our own.
-const PAUSE_INTERVALS: u32 = 3;
+/// Transmissions of each update per doubling of the fleet size.
+const TRANSMISSIONS_PER_DOUBLING: u32 = 3;
+/// A gap between timeouts of more than this many probe intervals counts as a local pause.
+const LOCAL_PAUSE_INTERVALS: u32 = 3;
 
-/// What members send each other. Every packet carries news.
+/// A membership message. Every packet carries updates.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Packet {
-    /// Asks for an [`Packet::Ack`].
+    /// Probes the receiver, which answers with [`Packet::Ack`].
     Ping {
-        /// Returned in the answer.
+        /// Returned in the ack.
         nonce: u64,
-        /// The sender first, then news.
-        news: Vec<Member>,
+        /// The sender, then queued updates.
+        updates: Vec<Member>,
     },
-    /// Answers a ping.
+    /// Acknowledges a ping.
     Ack {
-        /// Of the ping.
+        /// Nonce of the acknowledged ping.
         nonce: u64,
-        /// The sender first, then news.
-        news: Vec<Member>,
+        /// The sender, then queued updates.
+        updates: Vec<Member>,
     },
-    /// Asks the receiver to ping `target` and pass its answer on.
+    /// Asks the receiver to ping `target` and relay its ack.
     PingRequest {
-        /// Of the ping that got no answer.
+        /// Nonce of the unanswered direct ping.
         nonce: u64,
-        /// Whom to ping.
+        /// The member to ping.
         target: ProcessId,
-        /// The sender first, then news.
-        news: Vec<Member>,
+        /// The sender, then queued updates.
+        updates: Vec<Member>,
     },
-    /// Asks for all members; sent to seeds.
+    /// Requests the full member list; sent to unknown seeds and dead members.
     Join {
-        /// The sender.
-        news: Vec<Member>,
+        /// The sender, then queued updates.
+        updates: Vec<Member>,
     },
-    /// All members known to the sender.
+    /// Answers a join with all members known to the sender.
     Everyone {
-        /// The members.
-        news: Vec<Member>,
+        /// The sender, then all other members.
+        updates: Vec<Member>,
     },
 }
 
 impl Packet {
-    fn news(&self) -> &[Member] {
+    fn updates(&self) -> &[Member] {
         match self {
-            Packet::Ping { news, .. }
-            | Packet::Ack { news, .. }
-            | Packet::PingRequest { news, .. }
-            | Packet::Join { news }
-            | Packet::Everyone { news } => news,
+            Packet::Ping { updates, .. }
+            | Packet::Ack { updates, .. }
+            | Packet::PingRequest { updates, .. }
+            | Packet::Join { updates }
+            | Packet::Everyone { updates } => updates,
         }
     }
 }
 
-/// A packet and its receiver.
+/// A packet to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transmit {
-    /// The receiver.
+    /// Destination of the packet.
     pub to: ProcessId,
-    /// The packet.
+    /// Packet to send.
     pub packet: Packet,
 }
 
 #[derive(Debug)]
 struct Known {
     member: Member,
-    /// When the state was last changed here.
+    /// Time of the last local change of the member's state.
     since: Timestamp,
 }
 
@@ -118,24 +118,24 @@
     target: ProcessId,
     nonce: u64,
     sent: Timestamp,
-    asked_others: bool,
+    sent_indirect: bool,
 }
 
-/// For whom a ping is passed on.
+/// An indirect ping sent on behalf of another member.
 #[derive(Debug)]
 struct Relayed {
     requester: ProcessId,
     nonce: u64,
 }
 
-/// Membership as one process sees it.
+/// The membership view of one process.
 #[derive(Debug)]
 pub struct Membership {
     me: Member,
     config: MembershipConfig,
     seeds: Vec<ProcessId>,
     members: BTreeMap<ProcessId, Known>,
-    news: NewsBuffer,
+    update_buffer: UpdateBuffer,
     probe: Option<Probe>,
     relayed: BTreeMap<u64, Relayed>,
     round: Vec<ProcessId>,
@@ -147,8 +147,8 @@
 }
 
 impl Membership {
-    /// A process that knows its seeds and nobody else. Call [`Membership::handle_timeout`] at
-    /// once.
+    /// Creates a view without seeds or other members. The first
+    /// [`Membership::handle_timeout`] is due immediately.
     pub fn new(
         process: ProcessId,
         role: Role,
@@ -162,7 +162,7 @@
             config,
             seeds: Vec::new(),
             members: BTreeMap::new(),
-            news: NewsBuffer::default(),
+            update_buffer: UpdateBuffer::default(),
             probe: None,
             relayed: BTreeMap::new(),
             round: Vec::new(),
@@ -174,28 +174,28 @@
         }
     }
 
-    /// Sets the addresses asked for members, from the settings and the platform's machine list.
+    /// Replaces the seed addresses to join through. The address of this process is ignored.
     pub fn set_seeds(&mut self, seeds: Vec<ProcessId>) {
         let me = self.me.process.clone();
         self.seeds = seeds.into_iter().filter(|seed| *seed != me).collect();
     }
 
-    /// This process as others should see it.
+    /// Returns the state that this process announces about itself.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// Rises whenever the view changes.
+    /// Returns a counter that increases whenever the view changes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Every member known, this process excepted.
+    /// Returns all known members, including dead ones, except this process.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|known| &known.member)
     }
 
-    /// Processes with `role` that may be given work: alive or suspect, this one included.
+    /// Returns the alive and suspect processes with `role`, including this one, sorted by ID.
     pub fn live(&self, role: Role) -> Vec<ProcessId> {
         let usable = |member: &&Member| {
             member.role == role && matches!(member.state, MemberState::Alive | MemberState::Suspect)
@@ -210,7 +210,8 @@
         live
     }
 
-    /// Tells everyone that this process stops. Returns the packets to send at once.
+    /// Marks this process as leaving. Returns the packets that announce it to all reachable
+    /// members, to be sent immediately.
     pub fn leave(&mut self, random: &mut impl Rng) -> Vec<Transmit> {
         self.me.state = MemberState::Leaving;
         self.revision += 1;
@@ -219,27 +220,27 @@
         let mut transmits = Vec::new();
         for to in receivers.into_iter().take(count) {
             let nonce = random.next_u64();
-            let news = self.compose();
-            transmits.push(Transmit { to, packet: Packet::Ping { nonce, news } });
+            let updates = self.compose();
+            transmits.push(Transmit { to, packet: Packet::Ping { nonce, updates } });
         }
         transmits
     }
 
-    /// Takes a packet.
+    /// Applies the updates in a received packet and returns the packets to send in response.
     pub fn handle(&mut self, now: Timestamp, from: &ProcessId, packet: Packet) -> Vec<Transmit> {
-        for member in packet.news() {
+        for member in packet.updates() {
             self.learn(now, member);
         }
         match packet {
             Packet::Ping { nonce, .. } => {
-                let news = self.compose_for(from);
-                vec![Transmit { to: from.clone(), packet: Packet::Ack { nonce, news } }]
+                let updates = self.compose_for(from);
+                vec![Transmit { to: from.clone(), packet: Packet::Ack { nonce, updates } }]
             }
             Packet::Ack { nonce, .. } => self.handle_ack(nonce),
             Packet::PingRequest { nonce, target, .. } => self.relay(from, nonce, target),
             Packet::Join { .. } => {
-                let news = self.everyone();
-                vec![Transmit { to: from.clone(), packet: Packet::Everyone { news } }]
+                let updates = self.everyone();
+                vec![Transmit { to: from.clone(), packet: Packet::Everyone { updates } }]
             }
             Packet::Everyone { .. } => Vec::new(),
         }
@@ -252,24 +253,24 @@
         let Some(relayed) = self.relayed.remove(&nonce) else {
             return Vec::new();
         };
-        let news = self.compose();
-        let packet = Packet::Ack { nonce: relayed.nonce, news };
+        let updates = self.compose();
+        let packet = Packet::Ack { nonce: relayed.nonce, updates };
         vec![Transmit { to: relayed.requester, packet }]
     }
 
     fn relay(&mut self, from: &ProcessId, nonce: u64, target: ProcessId) -> Vec<Transmit> {
         let own = self.nonce();
         self.relayed.insert(own, Relayed { requester: from.clone(), nonce });
-        let news = self.compose_for(&target);
-        vec![Transmit { to: target, packet: Packet::Ping { nonce: own, news } }]
+        let updates = self.compose_for(&target);
+        vec![Transmit { to: target, packet: Packet::Ping { nonce: own, updates } }]
     }
 
-    /// Lets time pass: probes, suspicions, rejoining.
+    /// Sends due probes and joins, and expires suspicions. Returns the packets to send.
     pub fn handle_timeout(&mut self, now: Timestamp, random: &mut impl Rng) -> Vec<Transmit> {
-        self.notice_own_pause(now);
+        self.handle_local_pause(now);
         let mut transmits = Vec::new();
         self.escalate_probe(now, random, &mut transmits);
-        self.end_suspicions(now);
+        self.expire_suspicions(now);
         if now >= self.next_probe {
             self.next_probe = now + self.config.probe_interval;
             self.start_probe(now, random, &mut transmits);
@@ -281,18 +282,20 @@
         transmits
     }
 
-    /// When [`Membership::handle_timeout`] should be called next.
+    /// Returns when to call [`Membership::handle_timeout`] next.
     pub fn next_timeout(&self) -> Timestamp {
         let direct = match &self.probe {
-            Some(probe) if !probe.asked_others => probe.sent + self.config.direct_timeout,
+            Some(probe) if !probe.sent_indirect => probe.sent + self.config.direct_timeout,
             _ => Timestamp::NEVER,
         };
         self.next_probe.min(self.next_rejoin).min(direct)
     }
 
-    /// After a pause of our own, answers that we did not read count against nobody.
-    fn notice_own_pause(&mut self, now: Timestamp) {
-        let paused = now.since(self.last_timeout) > self.config.probe_interval * PAUSE_INTERVALS;
+    /// After a local pause, drops the pending probe and restarts suspicion timers: acks may have
+    /// arrived unread.
+    fn handle_local_pause(&mut self, now: Timestamp) {
+        let paused =
+            now.since(self.last_timeout) > self.config.probe_interval * LOCAL_PAUSE_INTERVALS;
         self.last_timeout = now;
         if !paused {
             return;
@@ -312,17 +315,17 @@
         transmits: &mut Vec<Transmit>,
     ) {
         let Some(probe) = &mut self.probe else { return };
-        if probe.asked_others || now.since(probe.sent) < self.config.direct_timeout {
+        if probe.sent_indirect || now.since(probe.sent) < self.config.direct_timeout {
             return;
         }
-        probe.asked_others = true;
+        probe.sent_indirect = true;
         let (nonce, target) = (probe.nonce, probe.target.clone());
         let mut helpers: Vec<ProcessId> = self.reachable();
         helpers.retain(|helper| *helper != target);
         for _ in 0..self.config.indirect_probes.min(helpers.len()) {
             let helper = helpers.swap_remove(random.random_range(0..helpers.len()));
-            let news = self.compose();
-            let packet = Packet::PingRequest { nonce, target: target.clone(), news };
+            let updates = self.compose();
+            let packet = Packet::PingRequest { nonce, target: target.clone(), updates };
             transmits.push(Transmit { to: helper, packet });
         }
     }
@@ -341,20 +344,21 @@
             return;
         };
         let nonce = self.nonce();
-        let news = self.compose_for(&target);
-        transmits.push(Transmit { to: target.clone(), packet: Packet::Ping { nonce, news } });
-        self.probe = Some(Probe { target, nonce, sent: now, asked_others: false });
+        let updates = self.compose_for(&target);
+        transmits.push(Transmit { to: target.clone(), packet: Packet::Ping { nonce, updates } });
+        self.probe = Some(Probe { target, nonce, sent: now, sent_indirect: false });
     }
 
-    /// Probes everyone once, in a random order, before anyone twice: this bounds detection time.
+    /// Picks a random member not yet probed in this round. Probing every member once per round
+    /// bounds detection time.
     fn next_target(&mut self, random: &mut impl Rng) -> Option<ProcessId> {
         if self.round.is_empty() {
             self.round = self.reachable();
         }
         while !self.round.is_empty() {
             let target = self.round.swap_remove(random.random_range(0..self.round.len()));
-            let there = self.members.get(&target);
-            if there.is_some_and(|known| known.member.state != MemberState::Dead) {
+            let known = self.members.get(&target);
+            if known.is_some_and(|known| known.member.state != MemberState::Dead) {
                 return Some(target);
             }
         }
@@ -373,9 +377,9 @@
             return;
         }
         let to = missing.swap_remove(random.random_range(0..missing.len()));
-        // A member held dead must hear so, or it would not refute.
-        let news = self.compose_for(&to);
-        transmits.push(Transmit { to, packet: Packet::Join { news } });
+        // The receiver refutes only if it learns that it is considered dead.
+        let updates = self.compose_for(&to);
+        transmits.push(Transmit { to, packet: Packet::Join { updates } });
     }
 
     fn suspect(&mut self, now: Timestamp, target: &ProcessId) {
@@ -385,11 +389,11 @@
         if known.member.state != MemberState::Alive {
             return;
         }
-        let statement = Member { state: MemberState::Suspect, ..known.member.clone() };
-        self.learn(now, &statement);
+        let update = Member { state: MemberState::Suspect, ..known.member.clone() };
+        self.learn(now, &update);
     }
 
-    fn end_suspicions(&mut self, now: Timestamp) {
+    fn expire_suspicions(&mut self, now: Timestamp) {
         let mut dead = Vec::new();
         for known in self.members.values() {
             let limit = match known.member.state {
@@ -400,8 +404,8 @@
                 dead.push(Member { state: MemberState::Dead, ..known.member.clone() });
             }
         }
-        for statement in dead {
-            self.learn(now, &statement);
+        for update in dead {
+            self.learn(now, &update);
         }
         let retention = self.config.dead_retention;
         self.members.retain(|_, known| {
@@ -409,56 +413,58 @@
         });
     }
 
-    /// Takes a statement about a member if it is newer than what is known.
-    fn learn(&mut self, now: Timestamp, statement: &Member) {
-        if statement.process == self.me.process {
-            self.refute(statement);
+    /// Applies an update if it is newer than the known state of the member.
+    fn learn(&mut self, now: Timestamp, update: &Member) {
+        if update.process == self.me.process {
+            self.refute(update);
             return;
         }
-        let known = self.members.get(&statement.process);
-        if known.is_some_and(|known| !statement.supersedes(&known.member)) {
+        let known = self.members.get(&update.process);
+        if known.is_some_and(|known| !update.supersedes(&known.member)) {
             return;
         }
-        if known.is_none() && statement.state == MemberState::Dead {
+        if known.is_none() && update.state == MemberState::Dead {
             return;
         }
-        let entry = Known { member: statement.clone(), since: now };
-        self.members.insert(statement.process.clone(), entry);
-        self.news.add(&statement.process);
+        let entry = Known { member: update.clone(), since: now };
+        self.members.insert(update.process.clone(), entry);
+        self.update_buffer.add(&update.process);
         self.revision += 1;
     }
 
-    fn refute(&mut self, statement: &Member) {
-        let about_this_life = statement.epoch >= self.me.epoch;
-        if !about_this_life || statement.state <= self.me.state {
+    fn refute(&mut self, update: &Member) {
+        let is_current_incarnation = update.epoch >= self.me.epoch;
+        if !is_current_incarnation || update.state <= self.me.state {
             return;
         }
-        self.me.epoch.refutation = statement.epoch.refutation + 1;
+        self.me.epoch.refutation = update.epoch.refutation + 1;
         let process = self.me.process.clone();
-        self.news.add(&process);
+        self.update_buffer.add(&process);
     }
 
     fn compose(&mut self) -> Vec<Member> {
-        let times = MENTIONS_PER_DOUBLING * (self.members.len() as u32 + 2).ilog2().max(1);
-        let mut news = vec![self.me.clone()];
-        for process in self.news.take(self.config.news_per_packet, times) {
+        let max_transmissions =
+            TRANSMISSIONS_PER_DOUBLING * (self.members.len() as u32 + 2).ilog2().max(1);
+        let mut updates = vec![self.me.clone()];
+        for process in self.update_buffer.take(self.config.updates_per_packet, max_transmissions) {
             if let Some(known) = self.members.get(&process) {
-                news.push(known.member.clone());
+                updates.push(known.member.clone());
             }
         }
-        news
+        updates
     }
 
-    /// News for `receiver`, with what is held against it, so that it can refute.
+    /// Composes updates for `receiver`, including its own state if it is not alive, for it to
+    /// refute.
     fn compose_for(&mut self, receiver: &ProcessId) -> Vec<Member> {
-        let mut news = self.compose();
+        let mut updates = self.compose();
         if let Some(known) = self.members.get(receiver) {
-            let held_against = known.member.state != MemberState::Alive;
-            if held_against && !news.contains(&known.member) {
-                news.push(known.member.clone());
+            let is_refutable = known.member.state != MemberState::Alive;
+            if is_refutable && !updates.contains(&known.member) {
+                updates.push(known.member.clone());
             }
         }
-        news
+        updates
     }
 
     fn everyone(&self) -> Vec<Member> {
