--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -221,7 +221,7 @@
             "role": self.role.as_str(),
             "zone": self.zone,
             "generation": state.spread.generation(),
-            "highest_heard": state.spread.highest_heard(),
+            "highest_heard": state.spread.highest_known(),
             "members": members,
         })
     }
@@ -327,7 +327,7 @@
     fn take(self: &Arc<Self>, envelope: Envelope, duty: &Arc<dyn Duty>) {
         let Envelope { from, generation, messages, .. } = envelope;
         let now = self.now();
-        let heard = self.lock().spread.hear(now, &from, generation);
+        let heard = self.lock().spread.handle_generation(now, &from, generation);
         self.act(duty, heard);
         for message in messages {
             match message {
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,10 +1,10 @@
-//! How an accepted configuration reaches every process and never goes back.
+//! Propagation of accepted configurations to all processes, with monotonic generations.
 //!
-//! The platform's root object decides what is accepted. A few processes watch it; the others hear a
-//! higher generation from any message of any peer and fetch the root and the parts they lack from
-//! that peer. A process puts a root in force only if its generation is higher than the one in
-//! force, so stale reads and late messages change nothing. A process that starts takes the highest
-//! that the platform and its peers know, and serves nothing before it asked them.
+//! The root object in the platform is the source of truth. A few processes watch it. The others
+//! learn of a higher generation from any peer message and fetch the root and the missing parts from
+//! that peer. A process installs a root only if its generation is higher than the one in force, so
+//! stale reads and delayed messages have no effect. A starting process queries the platform and its
+//! peers, and is not ready before it has installed the highest generation they reported.
 
 mod message;
 mod spread;
--- a/crates/spread/src/message.rs
+++ b/crates/spread/src/message.rs
@@ -1,49 +1,49 @@
-//! What processes tell each other about configurations.
+//! Messages between processes about configurations.
 
 use mastbay_configuration::{Generation, Part, PartHash, Root};
 use serde::{Deserialize, Serialize};
 
-/// A message about configurations.
+/// A request, a response or an announcement of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SpreadMessage {
-    /// The sender has this generation in force. Every envelope says so too; this one is sent on
-    /// its own right after a change.
+    /// Announces the sender's generation right after it changes. Every envelope carries the
+    /// generation as well.
     Announce {
-        /// The generation.
+        /// The generation in force at the sender.
         generation: Generation,
     },
-    /// Asks for the root in force.
+    /// Requests the root in force at the receiver.
     RootRequest {
-        /// The generation in force at the one who asks.
+        /// The generation in force at the sender, zero for none.
         have: Generation,
     },
-    /// The root in force, if any.
+    /// Answers a root request with the full root.
     Root {
-        /// The root.
+        /// The root in force, `None` if the sender has no configuration.
         root: Option<Root>,
     },
-    /// The root in force, for one who has another that the sender remembers: of a list that grows
-    /// with the fleet only what changed.
+    /// Answers a root request with the difference from the requester's root, if the sender still
+    /// has the part list of that generation.
     RootChange {
-        /// The generation that the change starts from.
+        /// The generation to which the change applies.
         base: Generation,
-        /// The generation in force.
+        /// The generation after the change.
         generation: Generation,
-        /// Of the root in force.
+        /// Apply ID of the root after the change.
         apply_id: String,
-        /// Parts that it has and the base has not.
+        /// Parts missing from the base.
         added: Vec<PartHash>,
-        /// Parts that the base has and it has not.
+        /// Parts of the base that are no longer used.
         removed: Vec<PartHash>,
     },
-    /// Asks for parts.
+    /// Requests parts by hash.
     PartsRequest {
-        /// The parts asked for.
+        /// Hashes of the requested parts.
         parts: Vec<PartHash>,
     },
-    /// The parts asked for that the sender has.
+    /// Answers a parts request with those parts that the sender has.
     Parts {
-        /// The parts.
+        /// The available parts.
         parts: Vec<Part>,
     },
 }
--- a/crates/spread/src/spread.rs
+++ b/crates/spread/src/spread.rs
@@ -1,4 +1,4 @@
-//! The state machine of one process.
+//! The configuration state machine of one process.
 
 use crate::message::SpreadMessage;
 use mastbay_configuration::{FleetConfiguration, Generation, Part, PartHash, Root};
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Settings of [`Spread`].
+/// Timeouts and fan-out of a [`Spread`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SpreadConfig {
-    /// Time a peer or the platform has to answer before another source is asked.
+    /// Time after which an unanswered request is sent to another source.
     pub answer_timeout: Duration,
-    /// How long a starting process waits for its peers once the platform has answered.
+    /// Time since the start during which the platform's answer alone does not make a process ready.
     pub peer_grace: Duration,
-    /// Peers told at once about a new generation.
+    /// Number of peers to which a new generation is announced.
     pub fanout: usize,
 }
 
@@ -28,10 +28,10 @@
     }
 }
 
-/// Part lists remembered, for those who are a few changes behind.
-const EARLIER_REMEMBERED: usize = 16;
+/// Earlier part lists kept to answer root requests with a difference.
+const MAX_EARLIER_ROOTS: usize = 16;
 
-/// Where a root came from, and so where its parts are fetched.
+/// Source of a root, from which its parts are fetched too.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
     /// Another process.
@@ -40,30 +40,30 @@
     Platform,
 }
 
-/// What the driver has to do.
+/// An action for the caller to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send a message.
     Send {
-        /// The receiver.
+        /// Destination of the message.
         to: ProcessId,
-        /// The message.
+        /// Message to send.
         message: SpreadMessage,
     },
-    /// Read parts from the platform and hand them to [`Spread::handle_parts`].
+    /// Read parts from the platform and pass them to [`Spread::handle_parts`].
     ReadParts(Vec<PartHash>),
-    /// A new configuration is in force: see [`Spread::configuration`].
+    /// A new configuration is in force, available from [`Spread::configuration`].
     Installed(Generation),
 }
 
-/// Why a process does not serve yet, or that it may.
+/// Whether a process may serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// A configuration is in force and enough sources were asked for a newer one.
+    /// A configuration is in force, and enough sources have answered to rule out a newer one.
     Ready,
     /// Neither the platform nor enough peers have answered yet.
     Asking,
-    /// All who answered know no configuration.
+    /// Enough sources have answered, and none has a configuration.
     Unconfigured,
 }
 
@@ -79,30 +79,31 @@
     root: Root,
     parts: BTreeMap<PartHash, Part>,
     source: Source,
-    asked: Timestamp,
+    requested_at: Timestamp,
 }
 
-/// Configuration as one process knows it.
+/// The configuration in force at one process and the fetch of a newer one.
 #[derive(Debug)]
 pub struct Spread {
     config: SpreadConfig,
     started: Timestamp,
     in_force: Option<InForce>,
-    /// Part lists in force before, the latest last.
+    /// Part lists of earlier generations, oldest first.
     earlier: VecDeque<(Generation, BTreeSet<PartHash>)>,
     fetch: Option<Fetch>,
-    root_asked: Option<(ProcessId, Timestamp)>,
-    /// The highest generation heard of, and from whom.
+    root_request: Option<(ProcessId, Timestamp)>,
+    /// The highest generation reported by any source.
     highest: Generation,
+    /// Peers that reported the highest generation.
     holders: BTreeSet<ProcessId>,
     peers: Vec<ProcessId>,
     answered: BTreeSet<ProcessId>,
     platform_answered: bool,
-    settled: bool,
+    caught_up: bool,
 }
 
 impl Spread {
-    /// A process that starts at `now` and knows nothing.
+    /// Creates the state of a process that starts at `now` without a configuration.
     pub fn new(config: SpreadConfig, now: Timestamp) -> Self {
         Self {
             config,
@@ -110,51 +111,51 @@
             in_force: None,
             earlier: VecDeque::new(),
             fetch: None,
-            root_asked: None,
+            root_request: None,
             highest: Generation::default(),
             holders: BTreeSet::new(),
             peers: Vec::new(),
             answered: BTreeSet::new(),
             platform_answered: false,
-            settled: false,
+            caught_up: false,
         }
     }
 
-    /// The generation in force, zero for none. Never falls.
+    /// Returns the generation in force, zero for none. It never decreases.
     pub fn generation(&self) -> Generation {
-        self.in_force.as_ref().map_or(Generation::default(), |known| known.root.generation)
+        self.in_force.as_ref().map_or(Generation::default(), |current| current.root.generation)
     }
 
-    /// The highest generation heard of.
-    pub fn highest_heard(&self) -> Generation {
+    /// Returns the highest generation reported by any source or in force.
+    pub fn highest_known(&self) -> Generation {
         self.highest.max(self.generation())
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force, `None` before the first is installed.
     pub fn configuration(&self) -> Option<Arc<FleetConfiguration>> {
-        self.in_force.as_ref().map(|known| known.configuration.clone())
+        self.in_force.as_ref().map(|current| current.configuration.clone())
     }
 
-    /// Sets the peers: seeds and members alive, without this process.
+    /// Sets the peers: seeds and live members, without this process.
     pub fn set_peers(&mut self, peers: Vec<ProcessId>) {
         self.peers = peers;
     }
 
-    /// Whether this process may serve. Once ready, it stays so.
+    /// Returns whether this process may serve. A ready process stays ready.
     pub fn readiness(&mut self, now: Timestamp) -> Readiness {
         let majority = self.answered.len() * 2 > self.peers.len();
         let waited = now.since(self.started) >= self.config.peer_grace;
-        let asked_enough = majority && !self.peers.is_empty() || self.platform_answered && waited;
-        self.settled |= asked_enough && self.highest <= self.generation();
-        match (&self.in_force, asked_enough) {
-            (Some(_), _) if self.settled => Readiness::Ready,
+        let enough_answers = majority && !self.peers.is_empty() || self.platform_answered && waited;
+        self.caught_up |= enough_answers && self.highest <= self.generation();
+        match (&self.in_force, enough_answers) {
+            (Some(_), _) if self.caught_up => Readiness::Ready,
             (None, true) if self.highest == Generation::default() => Readiness::Unconfigured,
             _ => Readiness::Asking,
         }
     }
 
-    /// Notes the generation that a peer's envelope carried.
-    pub fn hear(
+    /// Handles the generation in a peer's envelope. Requests the root if the generation is new.
+    pub fn handle_generation(
         &mut self,
         now: Timestamp,
         from: &ProcessId,
@@ -170,13 +171,14 @@
         }
         self.holders.insert(from.clone());
         let fetching = self.fetch.as_ref().is_some_and(|fetch| fetch.root.generation >= generation);
-        if fetching || self.root_asked.is_some() {
+        if fetching || self.root_request.is_some() {
             return Vec::new();
         }
-        self.ask_root(now, from.clone())
+        self.request_root(now, from.clone())
     }
 
-    /// Takes a message. `random` picks whom to tell of a new generation.
+    /// Handles a message. `random(n)` returns an index below `n` and selects the peers that receive
+    /// announcements.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -185,66 +187,66 @@
         random: &mut dyn FnMut(usize) -> usize,
     ) -> Vec<Action> {
         match message {
-            SpreadMessage::Announce { generation } => self.hear(now, from, generation),
+            SpreadMessage::Announce { generation } => self.handle_generation(now, from, generation),
             SpreadMessage::RootRequest { have } => {
                 let message = self.root_for(have);
                 vec![Action::Send { to: from.clone(), message }]
             }
             SpreadMessage::RootChange { base, generation, apply_id, added, removed } => {
-                self.root_asked = None;
+                self.root_request = None;
                 match self.apply_change(base, added, &removed) {
                     Some(parts) => {
                         let root = Root { generation, apply_id, previous: Vec::new(), parts };
-                        self.take_root(now, Source::Peer(from.clone()), root, random)
+                        self.handle_root(now, Source::Peer(from.clone()), root, random)
                     }
                     None => Vec::new(),
                 }
             }
             SpreadMessage::Root { root } => {
-                self.root_asked = None;
+                self.root_request = None;
                 match root {
-                    Some(root) => self.take_root(now, Source::Peer(from.clone()), root, random),
+                    Some(root) => self.handle_root(now, Source::Peer(from.clone()), root, random),
                     None => Vec::new(),
                 }
             }
             SpreadMessage::PartsRequest { parts } => {
-                let parts = self.parts_held(&parts);
+                let parts = self.available_parts(&parts);
                 vec![Action::Send { to: from.clone(), message: SpreadMessage::Parts { parts } }]
             }
             SpreadMessage::Parts { parts } => self.handle_parts(now, parts, random),
         }
     }
 
-    /// The root in force for one who has another: what changed if that one is remembered, else all.
+    /// Returns the difference from generation `have` if its part list is kept, else the full root.
     fn root_for(&self, have: Generation) -> SpreadMessage {
-        let Some(known) = &self.in_force else { return SpreadMessage::Root { root: None } };
+        let Some(current) = &self.in_force else { return SpreadMessage::Root { root: None } };
         let base = self.earlier.iter().find(|(generation, _)| *generation == have);
         let Some((base, before)) = base else {
-            return SpreadMessage::Root { root: Some(known.root.clone()) };
+            return SpreadMessage::Root { root: Some(current.root.clone()) };
         };
-        let now: BTreeSet<PartHash> = known.root.parts.iter().cloned().collect();
+        let now: BTreeSet<PartHash> = current.root.parts.iter().cloned().collect();
         SpreadMessage::RootChange {
             base: *base,
-            generation: known.root.generation,
-            apply_id: known.root.apply_id.clone(),
+            generation: current.root.generation,
+            apply_id: current.root.apply_id.clone(),
             added: now.difference(before).cloned().collect(),
             removed: before.difference(&now).cloned().collect(),
         }
     }
 
-    /// The parts after a change, `None` if its base is not in force here.
+    /// Returns the part list after a change, `None` if its base is not in force here.
     fn apply_change(
         &self,
         base: Generation,
         added: Vec<PartHash>,
         removed: &[PartHash],
     ) -> Option<Vec<PartHash>> {
-        let known = self.in_force.as_ref().filter(|known| known.root.generation == base)?;
-        let kept = known.root.parts.iter().filter(|hash| !removed.contains(hash)).cloned();
-        Some(kept.chain(added).collect())
+        let current = self.in_force.as_ref().filter(|current| current.root.generation == base)?;
+        let retained = current.root.parts.iter().filter(|hash| !removed.contains(hash)).cloned();
+        Some(retained.chain(added).collect())
     }
 
-    /// Takes the platform's root: `None` if there is none yet.
+    /// Handles the root read from the platform, `None` if there is none yet.
     pub fn handle_platform_root(
         &mut self,
         now: Timestamp,
@@ -253,12 +255,12 @@
     ) -> Vec<Action> {
         self.platform_answered = true;
         match root {
-            Some(root) => self.take_root(now, Source::Platform, root, random),
+            Some(root) => self.handle_root(now, Source::Platform, root, random),
             None => Vec::new(),
         }
     }
 
-    fn take_root(
+    fn handle_root(
         &mut self,
         now: Timestamp,
         source: Source,
@@ -271,19 +273,19 @@
         }
         self.highest = self.highest.max(root.generation);
         let mut parts = BTreeMap::new();
-        if let Some(known) = &self.in_force {
+        if let Some(current) = &self.in_force {
             for hash in &root.parts {
-                if let Some(part) = known.parts.get(hash) {
+                if let Some(part) = current.parts.get(hash) {
                     parts.insert(hash.clone(), part.clone());
                 }
             }
         }
-        self.fetch = Some(Fetch { root, parts, source, asked: now });
+        self.fetch = Some(Fetch { root, parts, source, requested_at: now });
         self.install_or_fetch(now, random)
     }
 
-    /// Takes parts, from a peer or the platform. Those that nobody asked for, or whose bytes do
-    /// not match a hash asked for, are dropped.
+    /// Handles parts from a peer or the platform. Parts whose hash is not in the root being fetched
+    /// are dropped.
     pub fn handle_parts(
         &mut self,
         now: Timestamp,
@@ -315,7 +317,7 @@
         let Some(fetch) = &mut self.fetch else {
             return Vec::new();
         };
-        fetch.asked = now;
+        fetch.requested_at = now;
         match &fetch.source {
             Source::Platform => vec![Action::ReadParts(missing)],
             Source::Peer(peer) => {
@@ -329,25 +331,25 @@
         let Some(fetch) = &self.fetch else {
             return Vec::new();
         };
-        let lacks = |hash: &&PartHash| !fetch.parts.contains_key(*hash);
-        fetch.root.parts.iter().filter(lacks).cloned().collect()
+        let is_missing = |hash: &&PartHash| !fetch.parts.contains_key(*hash);
+        fetch.root.parts.iter().filter(is_missing).cloned().collect()
     }
 
     fn install(&mut self, random: &mut dyn FnMut(usize) -> usize) -> Vec<Action> {
         let Some(fetch) = self.fetch.take() else {
             return Vec::new();
         };
-        // Parts are checked against their hashes, so this fails only for a configuration that a
-        // newer build wrote; the one in force stays.
+        // Hashes are verified already, so this fails only for a configuration written by a newer
+        // build. The one in force stays.
         let Ok(configuration) = FleetConfiguration::assemble(&fetch.root, &fetch.parts) else {
             return Vec::new();
         };
         let generation = fetch.root.generation;
         let configuration = Arc::new(configuration);
-        if let Some(before) = self.in_force.take() {
-            let parts = before.root.parts.into_iter().collect();
-            self.earlier.push_back((before.root.generation, parts));
-            if self.earlier.len() > EARLIER_REMEMBERED {
+        if let Some(previous) = self.in_force.take() {
+            let parts = previous.root.parts.into_iter().collect();
+            self.earlier.push_back((previous.root.generation, parts));
+            if self.earlier.len() > MAX_EARLIER_ROOTS {
                 self.earlier.pop_front();
             }
         }
@@ -372,45 +374,47 @@
         actions
     }
 
-    fn parts_held(&self, asked: &[PartHash]) -> Vec<Part> {
-        let Some(known) = &self.in_force else {
+    fn available_parts(&self, requested: &[PartHash]) -> Vec<Part> {
+        let Some(current) = &self.in_force else {
             return Vec::new();
         };
-        asked.iter().filter_map(|hash| known.parts.get(hash).cloned()).collect()
+        requested.iter().filter_map(|hash| current.parts.get(hash).cloned()).collect()
     }
 
-    fn ask_root(&mut self, now: Timestamp, to: ProcessId) -> Vec<Action> {
-        self.root_asked = Some((to.clone(), now));
+    fn request_root(&mut self, now: Timestamp, to: ProcessId) -> Vec<Action> {
+        self.root_request = Some((to.clone(), now));
         let message = SpreadMessage::RootRequest { have: self.generation() };
         vec![Action::Send { to, message }]
     }
 
-    /// Asks another source where one did not answer.
+    /// Retries requests that timed out with another source.
     pub fn handle_timeout(
         &mut self,
         now: Timestamp,
         random: &mut dyn FnMut(usize) -> usize,
     ) -> Vec<Action> {
-        let late = |asked: Timestamp| now.since(asked) >= self.config.answer_timeout;
-        if let Some((peer, asked)) = &self.root_asked
-            && late(*asked)
+        let is_timed_out =
+            |requested_at: Timestamp| now.since(requested_at) >= self.config.answer_timeout;
+        if let Some((peer, requested_at)) = &self.root_request
+            && is_timed_out(*requested_at)
         {
             self.holders.remove(peer);
-            self.root_asked = None;
+            self.root_request = None;
         }
         if let Some(fetch) = &self.fetch
-            && late(fetch.asked)
+            && is_timed_out(fetch.requested_at)
         {
             return self.change_source(now, random);
         }
         let behind = self.highest > self.generation() && self.fetch.is_none();
         match self.any_holder(random) {
-            Some(holder) if behind && self.root_asked.is_none() => self.ask_root(now, holder),
+            Some(holder) if behind && self.root_request.is_none() => self.request_root(now, holder),
             _ => Vec::new(),
         }
     }
 
-    /// Parts are named by hash, so any holder or the platform may give the rest.
+    /// Fetches the missing parts from another source. Parts are addressed by hash, so any holder or
+    /// the platform can serve them.
     fn change_source(
         &mut self,
         now: Timestamp,
@@ -434,12 +438,12 @@
         self.holders.iter().nth(random(self.holders.len())).cloned()
     }
 
-    /// When [`Spread::handle_timeout`] should be called next.
+    /// Returns when to call [`Spread::handle_timeout`] next.
     pub fn next_timeout(&self) -> Timestamp {
-        let root = self.root_asked.as_ref().map(|(_, asked)| *asked);
-        let fetch = self.fetch.as_ref().map(|fetch| fetch.asked);
+        let root = self.root_request.as_ref().map(|(_, requested_at)| *requested_at);
+        let fetch = self.fetch.as_ref().map(|fetch| fetch.requested_at);
         match root.into_iter().chain(fetch).min() {
-            Some(asked) => asked + self.config.answer_timeout,
+            Some(requested_at) => requested_at + self.config.answer_timeout,
             None => Timestamp::NEVER,
         }
     }
