--- a/crates/machines/src/lib.rs
+++ b/crates/machines/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which machines are leaving, from the platform's lagging machine list, kept through its outages.
+//! The platform's machine list, which announces machines that are about to stop.
 //!
-//! Schedulers poll the list and pass a newer one on to each other, so that a scheduler that starts
-//! while the platform is down still learns of a notice that any of them has seen.
+//! Schedulers poll the list, which may lag, and send newer revisions to each other. Therefore a
+//! scheduler that starts while the platform is down still learns of announced stops.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -13,50 +13,50 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It takes work.
+    /// Accepts work.
     Live,
-    /// It is to be stopped and must get no new work.
+    /// About to be stopped; must receive no new work.
     Leaving,
 }
 
-/// An entry of the platform's list.
+/// An entry of the platform's machine list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Where what runs there listens.
+    /// Listening address of the process on the machine. Port 0 stands for all ports.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Its state.
+    /// State reported by the platform.
     pub state: MachineState,
 }
 
-/// The platform's list at one revision.
+/// The platform's machine list at one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Rises with every change.
+    /// Increases with every change of the list.
     pub revision: u64,
-    /// The machines.
+    /// All machines in the list.
     pub machines: Vec<Machine>,
 }
 
-/// A message about machines.
+/// A message between schedulers about the machine list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineMessage {
-    /// Asks for the newest list known.
+    /// Requests the newest list known to the receiver.
     ListRequest,
-    /// The newest list known to the sender.
+    /// Carries the newest list known to the sender.
     List(MachineList),
 }
 
-/// The newest list that one process knows.
+/// The newest machine list known to a process.
 #[derive(Debug, Default)]
-pub struct MachineBoard {
+pub struct MachineListCache {
     newest: MachineList,
 }
 
-impl MachineBoard {
-    /// Takes a list. Returns whether it is newer than the one known.
-    pub fn offer(&mut self, list: MachineList) -> bool {
+impl MachineListCache {
+    /// Replaces the known list if `list` has a higher revision. Returns whether it was replaced.
+    pub fn update(&mut self, list: MachineList) -> bool {
         let newer = list.revision > self.newest.revision;
         if newer {
             self.newest = list;
@@ -64,18 +64,18 @@
         newer
     }
 
-    /// The newest list known.
+    /// Returns the newest list, empty at revision 0 until one is known.
     pub fn newest(&self) -> &MachineList {
         &self.newest
     }
 
-    /// Whether what listens at `address` is leaving. An entry with port 0 speaks for the machine's
-    /// every port.
+    /// Returns whether the process at `address` is on a leaving machine. An entry with port 0
+    /// matches all ports of its IP address.
     pub fn is_leaving(&self, address: SocketAddr) -> bool {
         self.newest.machines.iter().any(|machine| {
-            let same = machine.address == address
+            let matches_address = machine.address == address
                 || machine.address.port() == 0 && machine.address.ip() == address.ip();
-            same && machine.state == MachineState::Leaving
+            matches_address && machine.state == MachineState::Leaving
         })
     }
 }
--- a/crates/machines/src/tests.rs
+++ b/crates/machines/src/tests.rs
@@ -1,4 +1,6 @@
-use crate::{Machine, MachineBoard, MachineList, MachineState};
+//! Tests of revision order and address matching of the machine list.
+
+use crate::{Machine, MachineList, MachineListCache, MachineState};
 use std::net::SocketAddr;
 
 fn list(revision: u64, address: &str, state: MachineState) -> MachineList {
@@ -11,18 +13,18 @@
 }
 
 #[test]
-fn an_older_list_does_not_undo_a_notice() {
-    let mut board = MachineBoard::default();
-    assert!(board.offer(list(2, "10.0.0.1:80", MachineState::Leaving)));
-    assert!(!board.offer(list(1, "10.0.0.1:80", MachineState::Live)));
-    assert!(board.is_leaving(address("10.0.0.1:80")));
-    assert!(!board.is_leaving(address("10.0.0.1:81")));
+fn an_older_list_does_not_replace_a_newer_one() {
+    let mut cache = MachineListCache::default();
+    assert!(cache.update(list(2, "10.0.0.1:80", MachineState::Leaving)));
+    assert!(!cache.update(list(1, "10.0.0.1:80", MachineState::Live)));
+    assert!(cache.is_leaving(address("10.0.0.1:80")));
+    assert!(!cache.is_leaving(address("10.0.0.1:81")));
 }
 
 #[test]
-fn port_zero_speaks_for_the_whole_machine() {
-    let mut board = MachineBoard::default();
-    board.offer(list(1, "10.0.0.1:0", MachineState::Leaving));
-    assert!(board.is_leaving(address("10.0.0.1:81")));
-    assert!(!board.is_leaving(address("10.0.0.2:81")));
+fn an_entry_with_port_zero_matches_all_ports() {
+    let mut cache = MachineListCache::default();
+    cache.update(list(1, "10.0.0.1:0", MachineState::Leaving));
+    assert!(cache.is_leaving(address("10.0.0.1:81")));
+    assert!(!cache.is_leaving(address("10.0.0.2:81")));
 }
--- a/crates/scheduler/src/cells.rs
+++ b/crates/scheduler/src/cells.rs
@@ -3,7 +3,7 @@
 use crate::metrics::{CellLabel, SchedulerMetrics};
 use mastbay_configuration::FleetConfiguration;
 use mastbay_grants::{Cell, CellConfig, Grants, Report};
-use mastbay_machines::MachineBoard;
+use mastbay_machines::MachineListCache;
 use mastbay_types::{BackendName, CellId, Incarnation, ProcessId, TenantName, Timestamp};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -33,18 +33,22 @@
     }
 
     /// Applies a configuration to every cell and removes the cells of services it no longer has.
-    pub fn configure(&mut self, configuration: &Arc<FleetConfiguration>, board: &MachineBoard) {
+    pub fn configure(
+        &mut self,
+        configuration: &Arc<FleetConfiguration>,
+        machine_list: &MachineListCache,
+    ) {
         self.configuration = configuration.clone();
         self.cells.retain(|id, _| configuration.services.contains_key(&id.service));
         for entry in self.cells.values_mut() {
-            apply_configuration(&mut entry.cell, configuration, board);
+            apply_configuration(&mut entry.cell, configuration, machine_list);
         }
     }
 
     /// Updates which back ends are leaving, by their configuration or their machine.
-    pub fn mark_leaving(&mut self, board: &MachineBoard) {
+    pub fn mark_leaving(&mut self, machine_list: &MachineListCache) {
         for entry in self.cells.values_mut() {
-            mark_leaving(&mut entry.cell, &self.configuration, board);
+            mark_leaving(&mut entry.cell, &self.configuration, machine_list);
         }
     }
 
@@ -55,7 +59,7 @@
         now: Timestamp,
         from: &ProcessId,
         report: Report,
-        board: &MachineBoard,
+        machine_list: &MachineListCache,
         gateways: impl FnOnce() -> Vec<ProcessId>,
     ) -> Vec<(ProcessId, Grants)> {
         let id = report.cell.clone();
@@ -65,7 +69,7 @@
         let entry = self.cells.entry(id.clone()).or_insert_with(|| {
             tracing::info!(event = "cell_taken_up", cell = %id);
             let mut cell = Cell::new(id, CellConfig::default(), self.me.clone(), self.incarnation);
-            apply_configuration(&mut cell, &self.configuration, board);
+            apply_configuration(&mut cell, &self.configuration, machine_list);
             CellEntry { cell, last_report: now }
         });
         entry.last_report = now;
@@ -127,7 +131,11 @@
     }
 }
 
-fn apply_configuration(cell: &mut Cell, configuration: &FleetConfiguration, board: &MachineBoard) {
+fn apply_configuration(
+    cell: &mut Cell,
+    configuration: &FleetConfiguration,
+    machine_list: &MachineListCache,
+) {
     let service = cell.id().service.clone();
     let backends: Vec<(BackendName, u32)> = configuration
         .backends_of(&service)
@@ -140,13 +148,17 @@
     for (name, tenant) in &configuration.tenants {
         cell.set_weight(name, tenant.weight);
     }
-    mark_leaving(cell, configuration, board);
+    mark_leaving(cell, configuration, machine_list);
 }
 
-fn mark_leaving(cell: &mut Cell, configuration: &FleetConfiguration, board: &MachineBoard) {
+fn mark_leaving(
+    cell: &mut Cell,
+    configuration: &FleetConfiguration,
+    machine_list: &MachineListCache,
+) {
     let service = cell.id().service.clone();
     for (name, backend) in configuration.backends_of(&service) {
-        cell.set_leaving(name, backend.leaving || board.is_leaving(backend.address));
+        cell.set_leaving(name, backend.leaving || machine_list.is_leaving(backend.address));
     }
 }
 
--- a/crates/scheduler/src/duty.rs
+++ b/crates/scheduler/src/duty.rs
@@ -8,7 +8,7 @@
 use mastbay_claims::{ClaimKeeper, ClaimMessage, KeeperConfig};
 use mastbay_configuration::FleetConfiguration;
 use mastbay_grants::Grants;
-use mastbay_machines::{MachineBoard, MachineList, MachineMessage};
+use mastbay_machines::{MachineList, MachineListCache, MachineMessage};
 use mastbay_membership::Role;
 use mastbay_node::{Clock, Duty, Node, Wake};
 use mastbay_peer::Message;
@@ -24,7 +24,7 @@
 struct State {
     cells: Cells,
     keeper: ClaimKeeper,
-    board: MachineBoard,
+    machine_list: MachineListCache,
 }
 
 /// The state of a scheduler and its handlers of messages and timers.
@@ -46,7 +46,7 @@
         let state = State {
             cells: Cells::new(node.me().clone(), node.incarnation()),
             keeper: ClaimKeeper::new(KeeperConfig::default()),
-            board: MachineBoard::default(),
+            machine_list: MachineListCache::default(),
         };
         let (state, wake) = (Mutex::new(state), Wake::default());
         Arc::new(Self { node, settings, metrics, state, wake })
@@ -88,10 +88,10 @@
     /// Applies a machine list if it is newer than the current one. Returns whether it was.
     pub fn offer_machines(&self, list: MachineList) -> bool {
         let mut state = self.lock();
-        let State { cells, board, .. } = &mut *state;
-        let is_newer = board.offer(list);
+        let State { cells, machine_list, .. } = &mut *state;
+        let is_newer = machine_list.update(list);
         if is_newer {
-            cells.mark_leaving(board);
+            cells.mark_leaving(machine_list);
         }
         is_newer
     }
@@ -137,7 +137,7 @@
         match message {
             MachineMessage::List(list) => machines::handle_list(self, list),
             MachineMessage::ListRequest => {
-                let list = self.lock().board.newest().clone();
+                let list = self.lock().machine_list.newest().clone();
                 self.node.send(from, Message::Machines(MachineMessage::List(list)));
             }
         }
@@ -155,9 +155,10 @@
                 self.metrics.reports.inc();
                 let now = self.node.now();
                 let mut state = self.lock();
-                let State { cells, board, .. } = &mut *state;
-                let outgoing =
-                    cells.handle_report(now, from, report, board, || self.node.live(Role::Gateway));
+                let State { cells, machine_list, .. } = &mut *state;
+                let outgoing = cells.handle_report(now, from, report, machine_list, || {
+                    self.node.live(Role::Gateway)
+                });
                 drop(state);
                 self.send_grants(outgoing);
             }
@@ -187,8 +188,8 @@
 
     fn configuration_changed(&self, configuration: &Arc<FleetConfiguration>) {
         let mut state = self.lock();
-        let State { cells, board, .. } = &mut *state;
-        cells.configure(configuration, board);
+        let State { cells, machine_list, .. } = &mut *state;
+        cells.configure(configuration, machine_list);
     }
 }
 
