--- a/crates/peer/src/envelope.rs
+++ b/crates/peer/src/envelope.rs
@@ -1,4 +1,4 @@
-//! What travels in one post.
+//! Body of a POST request between processes.
 
 use mastbay_claims::ClaimMessage;
 use mastbay_configuration::Generation;
@@ -9,35 +9,35 @@
 use mastbay_types::ProcessId;
 use serde::{Deserialize, Serialize};
 
-/// Version of the messages below. Another version is refused with a clear error, not guessed at.
+/// Version of the message format. Requests with any other version are rejected.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// A message of any duty.
+/// A message of any of the protocols between processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Who is there.
+    /// Group membership.
     Membership(Packet),
-    /// Which configuration is in force.
+    /// Propagation of configurations.
     Spread(SpreadMessage),
-    /// Which machines are leaving.
+    /// The platform's machine list.
     Machines(MachineMessage),
-    /// A gateway's demand.
+    /// Demand reported by a gateway to a scheduler.
     Report(Report),
-    /// A scheduler's grants.
+    /// Grants from a scheduler to a gateway.
     Grants(Grants),
     /// Claims for idempotency keys.
     Claim(ClaimMessage),
 }
 
-/// Messages from one process to another, with what every post tells.
+/// A batch of messages from one process to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
     pub from: ProcessId,
-    /// The receiver meant: an address taken over by another process must not act on it.
+    /// The intended receiver. A process that has taken over its address rejects the envelope.
     pub to: ProcessId,
     /// The configuration in force at the sender.
     pub generation: Generation,
-    /// The messages, oldest first.
+    /// Messages in sending order.
     pub messages: Vec<Message>,
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,6 +1,6 @@
-//! Messages between the fleet's own processes: one-way, batched, signed with the shared secret and
-//! carried as MessagePack in HTTP posts. A message may be lost; every protocol above repeats what
-//! matters.
+//! One-way messages between the processes of a fleet, batched, encoded as MessagePack, signed with
+//! the shared secret and sent in HTTP POST requests. Delivery is best effort: protocols on top
+//! retransmit what must arrive.
 
 mod envelope;
 mod outbox;
--- a/crates/peer/src/outbox.rs
+++ b/crates/peer/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Sending: one task for each receiver, which posts all that has gathered since its last post.
+//! Sending of messages. One task per receiver posts all messages queued since its last request.
 
 use crate::envelope::{Envelope, Message, PROTOCOL_VERSION};
 use crate::secret::{PROTOCOL_HEADER, PeerSecret, SIGNATURE_HEADER};
@@ -15,39 +15,40 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Settings of an [`Outbox`].
+/// Timeouts and queue length of an [`Outbox`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutboxConfig {
-    /// Time that a post may take.
-    pub post_limit: Duration,
-    /// Messages that may gather for one receiver; more are dropped.
-    pub most_gathered: usize,
-    /// Idle time after which a receiver's task ends.
-    pub idle_limit: Duration,
+    /// Timeout of a request, also used for its connection attempt.
+    pub post_timeout: Duration,
+    /// Maximum number of queued messages per receiver. Further messages are dropped.
+    pub max_queued: usize,
+    /// Idle time after which the task of a receiver ends.
+    pub idle_timeout: Duration,
 }
 
 impl Default for OutboxConfig {
     fn default() -> Self {
         Self {
-            post_limit: Duration::from_millis(400),
-            most_gathered: 4_096,
-            idle_limit: Duration::from_secs(60),
+            post_timeout: Duration::from_millis(400),
+            max_queued: 4_096,
+            idle_timeout: Duration::from_secs(60),
         }
     }
 }
 
-/// Counts since the start, for metrics.
+/// Counters since the start of the process, for metrics.
 #[derive(Debug, Default)]
 pub struct OutboxCounts {
-    /// Posts that were answered.
+    /// Requests answered with a success status.
     pub posts: AtomicU64,
-    /// Bytes of their bodies.
+    /// Total body size of these requests.
     pub bytes: AtomicU64,
-    /// Messages dropped, since their post failed or too many had gathered.
+    /// Messages dropped because the request failed, the queue was full or the address of the
+    /// receiver was invalid.
     pub dropped: AtomicU64,
 }
 
-/// Sends messages to peers.
+/// Queues messages to peers and sends them in the background.
 #[derive(Debug)]
 pub struct Outbox {
     shared: Arc<Shared>,
@@ -65,10 +66,10 @@
 }
 
 impl Outbox {
-    /// An outbox of the process `me`.
+    /// Creates the outbox of the process `me`.
     pub fn new(me: ProcessId, secret: PeerSecret, config: OutboxConfig) -> Self {
         let client =
-            Client::new(ClientConfig { connect_limit: config.post_limit, ..Default::default() });
+            Client::new(ClientConfig { connect_limit: config.post_timeout, ..Default::default() });
         let shared = Shared {
             me,
             secret,
@@ -80,17 +81,17 @@
         Self { shared: Arc::new(shared), receivers: Mutex::default() }
     }
 
-    /// Sets the generation that every envelope tells.
+    /// Sets the generation sent in every envelope. A lower value than the current one is ignored.
     pub fn set_generation(&self, generation: Generation) {
         self.shared.generation.fetch_max(generation.0, Ordering::SeqCst);
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start of the process.
     pub fn counts(&self) -> &OutboxCounts {
         &self.shared.counts
     }
 
-    /// Queues a message; it may be lost.
+    /// Queues a message. Delivery is not guaranteed.
     pub fn send(&self, to: &ProcessId, message: Message) {
         let mut receivers = self.receivers.lock().unwrap_or_else(PoisonError::into_inner);
         let message = match receivers.get(to) {
@@ -101,14 +102,14 @@
                     self.shared.counts.dropped.fetch_add(1, Ordering::Relaxed);
                     return;
                 }
-                // The receiver's task has ended for idleness.
+                // The receiver's task ended after its idle timeout.
                 Err(TrySendError::Closed(message)) => message,
             },
         };
-        self.open(&mut receivers, to, message);
+        self.start_sender(&mut receivers, to, message);
     }
 
-    fn open(
+    fn start_sender(
         &self,
         receivers: &mut HashMap<ProcessId, Sender<Message>>,
         to: &ProcessId,
@@ -118,18 +119,19 @@
             self.shared.counts.dropped.fetch_add(1, Ordering::Relaxed);
             return;
         };
-        let (sender, queue) = smol::channel::bounded(self.shared.config.most_gathered);
-        // The queue is new and empty.
+        let (sender, queue) = smol::channel::bounded(self.shared.config.max_queued);
+        // Cannot fail: the queue is empty.
         let _ = sender.try_send(first);
         receivers.insert(to.clone(), sender);
         let (shared, to) = (self.shared.clone(), to.clone());
-        smol::spawn(async move { shared.carry(to, address, queue).await }).detach();
+        smol::spawn(async move { shared.run_sender(to, address, queue).await }).detach();
     }
 }
 
 impl Shared {
-    async fn carry(&self, to: ProcessId, address: SocketAddr, queue: Receiver<Message>) {
-        while let Ok(Ok(first)) = mastbay_web::within(self.config.idle_limit, queue.recv()).await {
+    async fn run_sender(&self, to: ProcessId, address: SocketAddr, queue: Receiver<Message>) {
+        while let Ok(Ok(first)) = mastbay_web::within(self.config.idle_timeout, queue.recv()).await
+        {
             let mut messages = vec![first];
             while let Ok(message) = queue.try_recv() {
                 messages.push(message);
@@ -162,7 +164,7 @@
             .header(SIGNATURE_HEADER, self.secret.sign(&body))
             .body(Full::new(body));
         let Ok(request) = request else { return false };
-        let reply = self.client.call(address, request, self.config.post_limit).await;
+        let reply = self.client.call(address, request, self.config.post_timeout).await;
         let delivered = reply.is_ok_and(|reply| reply.status.is_success());
         if delivered {
             self.counts.posts.fetch_add(1, Ordering::Relaxed);
--- a/crates/peer/src/secret.rs
+++ b/crates/peer/src/secret.rs
@@ -1,4 +1,4 @@
-//! The shared secret, and the checks on what arrives.
+//! The shared secret and the verification of received requests.
 
 use crate::envelope::{Envelope, PROTOCOL_VERSION};
 use derive_more::{Display, Error};
@@ -7,12 +7,12 @@
 use sha2::Sha256;
 use std::fmt;
 
-/// Header with the protocol version of the sender.
+/// HTTP header with the sender's protocol version.
 pub const PROTOCOL_HEADER: HeaderName = HeaderName::from_static("mastbay-protocol");
-/// Header with the HMAC-SHA256 of the body under the shared secret, in hexadecimal digits.
+/// HTTP header with the hex-encoded HMAC-SHA256 of the body under the shared secret.
 pub const SIGNATURE_HEADER: HeaderName = HeaderName::from_static("mastbay-signature");
 
-/// The secret that all processes of a fleet share.
+/// The secret shared by all processes of a fleet. Its `Debug` output does not reveal it.
 #[derive(Clone)]
 pub struct PeerSecret(Hmac<Sha256>);
 
@@ -22,25 +22,25 @@
     }
 }
 
-/// Why a post is refused.
+/// The reason for which a received request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Error)]
 pub enum ReceiveError {
-    /// The sender speaks another version, or does not say which.
+    /// The protocol version is missing or differs from [`PROTOCOL_VERSION`].
     #[display("this process speaks peer protocol {PROTOCOL_VERSION} only")]
     WrongProtocol,
-    /// The signature is missing or made with another secret.
+    /// The signature is missing or was made with another secret or for another body.
     #[display("the signature is missing or does not match")]
     BadSignature,
-    /// The body is no envelope.
+    /// The body cannot be decoded as an envelope.
     #[display("the message cannot be read")]
     Malformed,
-    /// The post is meant for another process.
+    /// The envelope is addressed to another process.
     #[display("the message is meant for another process")]
     WrongReceiver,
 }
 
 impl ReceiveError {
-    /// The stable code.
+    /// Returns the stable error code sent to the peer.
     pub fn code(self) -> &'static str {
         match self {
             ReceiveError::WrongProtocol => "wrong_protocol",
@@ -52,9 +52,9 @@
 }
 
 impl PeerSecret {
-    /// The secret from the settings.
+    /// Creates the signing key from the secret in the settings.
     pub fn new(secret: &str) -> Self {
-        // HMAC takes keys of any length, so this cannot fail.
+        // Cannot fail: HMAC accepts keys of any length.
         let keyed = Hmac::new_from_slice(secret.as_bytes());
         Self(keyed.unwrap_or_else(|_| Hmac::new(&Default::default())))
     }
@@ -76,7 +76,8 @@
     }
 }
 
-/// Checks a post and reads its envelope.
+/// Verifies the version and signature of a request, and decodes its envelope, which must be
+/// addressed to `me`.
 pub fn receive(
     secret: &PeerSecret,
     me: &mastbay_types::ProcessId,
--- a/crates/peer/src/tests.rs
+++ b/crates/peer/src/tests.rs
@@ -1,3 +1,5 @@
+//! Tests that requests with an invalid version, signature, body or receiver are rejected.
+
 use crate::secret::{PROTOCOL_HEADER, SIGNATURE_HEADER};
 use crate::{Envelope, Message, PeerSecret, ReceiveError, receive};
 use hyper::header::{HeaderMap, HeaderValue};
@@ -13,7 +15,7 @@
         generation: Generation(3),
         messages: vec![Message::Spread(SpreadMessage::RootRequest { have: Generation(2) })],
     };
-    let body = rmp_serde::to_vec(&envelope).expect("an envelope can be written");
+    let body = rmp_serde::to_vec(&envelope).expect("an envelope can be encoded");
     (me, body, envelope)
 }
 
@@ -25,11 +27,11 @@
 }
 
 #[test]
-fn only_a_well_signed_post_of_our_version_for_us_is_read() {
+fn only_a_signed_request_with_the_right_version_and_receiver_is_accepted() {
     let secret = PeerSecret::new("harbour");
     let (me, body, sent) = envelope();
-    let good = headers("1", &secret, &body);
-    assert_eq!(receive(&secret, &me, &good, &body), Ok(sent));
+    let valid = headers("1", &secret, &body);
+    assert_eq!(receive(&secret, &me, &valid, &body), Ok(sent));
 
     let other_version = headers("2", &secret, &body);
     assert_eq!(receive(&secret, &me, &other_version, &body), Err(ReceiveError::WrongProtocol));
@@ -37,14 +39,14 @@
     let other_secret = headers("1", &PeerSecret::new("river"), &body);
     assert_eq!(receive(&secret, &me, &other_secret, &body), Err(ReceiveError::BadSignature));
 
-    let mut unsigned = good.clone();
+    let mut unsigned = valid.clone();
     unsigned.remove(SIGNATURE_HEADER);
     assert_eq!(receive(&secret, &me, &unsigned, &body), Err(ReceiveError::BadSignature));
 
-    let noise = b"noise";
-    let signed_noise = headers("1", &secret, noise);
-    assert_eq!(receive(&secret, &me, &signed_noise, noise), Err(ReceiveError::Malformed));
+    let malformed = b"noise";
+    let signed_malformed = headers("1", &secret, malformed);
+    assert_eq!(receive(&secret, &me, &signed_malformed, malformed), Err(ReceiveError::Malformed));
 
     let another = ProcessId::from("127.0.0.1:9");
-    assert_eq!(receive(&secret, &another, &good, &body), Err(ReceiveError::WrongReceiver));
+    assert_eq!(receive(&secret, &another, &valid, &body), Err(ReceiveError::WrongReceiver));
 }
