--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -1,8 +1,8 @@
-//! Applying a configuration: immutable parts first, then one conditional update of the root.
+//! Applies a configuration: writes immutable parts first, then updates the root conditionally.
 //!
-//! Whatever the platform does, "accepted" is reported only if the root holds the change, and "not
-//! accepted" only if it certainly never will: a write whose answer was lost is repeated with the same
-//! condition and the same id until the root itself tells.
+//! "Accepted" is reported only if the root includes the change, "not accepted" only if it never
+//! will. A write without an answer is retried with the same precondition and apply ID until the
+//! outcome can be read from the root.
 
 use crate::store::ObjectStore;
 use bytes::Bytes;
@@ -14,16 +14,16 @@
 use mastbay_object_store::{Object, Precondition, ReadError, WriteError};
 use std::collections::BTreeMap;
 
-/// How applying ended well.
+/// Result of a successful apply.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Applied {
     /// The change is accepted as this generation.
     Accepted(Generation),
-    /// The configuration accepted before is the same; nothing was written.
+    /// The accepted configuration is identical; nothing was written.
     Unchanged(Generation),
 }
 
-/// Why a configuration was not applied, or may not have been.
+/// An error after which a configuration is not applied, or possibly applied for `Unknown`.
 #[derive(Debug, Display, Error)]
 pub enum ApplyError {
     /// Another operator's change was accepted first.
@@ -31,28 +31,28 @@
     Conflict {
         /// The generation accepted instead.
         found: Generation,
-        /// What that change did.
+        /// Differences made by that change.
         change: Vec<Difference>,
     },
-    /// The platform did not answer, and certainly nothing was accepted.
+    /// The platform cannot be read; nothing was accepted.
     #[display("not accepted: the platform cannot be read: {source}")]
     Unreadable {
         /// The last cause.
         source: ReadError,
     },
-    /// The platform took no write, so nothing was accepted.
+    /// No write of the root took effect; nothing was accepted.
     #[display("not accepted: {source}")]
     NotWritten {
         /// The last cause.
         source: WriteError,
     },
-    /// The platform stopped to answer at the wrong moment.
+    /// The outcome of a write is unknown because the platform stopped answering.
     #[display("unknown: the platform stopped to answer while the change was being written; {hint}")]
     Unknown {
-        /// What to do.
+        /// Advice to the operator.
         hint: &'static str,
     },
-    /// What the platform holds is not understood.
+    /// The stored configuration is invalid.
     #[display("the configuration in the platform is not understood: {source}")]
     Stored {
         /// The cause.
@@ -60,36 +60,36 @@
     },
 }
 
-/// Why a stored configuration is not understood.
+/// The invalid part of a stored configuration.
 #[derive(Debug, Display, Error)]
 pub enum StoredError {
-    /// The root is no root.
+    /// The root cannot be decoded.
     #[display("{_0}")]
     Root(serde_json::Error),
-    /// Parts are missing or no parts.
+    /// Parts are missing or cannot be decoded.
     #[display("{_0}")]
     Parts(AssembleError),
 }
 
 const HINT: &str = "run `mastbayctl diff` once it answers";
 
-/// The configuration accepted at one moment.
+/// The accepted configuration at the time of a read.
 #[derive(Debug)]
 pub struct Current {
     version: Option<u64>,
     root: Option<Root>,
-    /// The whole configuration, empty if none was ever applied.
+    /// The full configuration, empty if none was ever applied.
     pub configuration: FleetConfiguration,
 }
 
 impl Current {
-    /// Its generation.
+    /// Returns its generation, zero if none was ever applied.
     pub fn generation(&self) -> Generation {
         self.root.as_ref().map_or(Generation::default(), |root| root.generation)
     }
 }
 
-/// Reads the configuration accepted now.
+/// Reads the accepted configuration.
 pub async fn read_current(store: &impl ObjectStore) -> Result<Current, ApplyError> {
     let Some(object) = read(store, ROOT_KEY).await? else {
         return Ok(Current { version: None, root: None, configuration: Default::default() });
@@ -106,7 +106,7 @@
     Ok(Current { version: Some(object.version), root: Some(root), configuration })
 }
 
-/// Applies `configuration` on top of `current`. `apply_id` must never have been used before.
+/// Applies `configuration` on top of `current`. `apply_id` must be unique.
 pub async fn apply(
     store: &impl ObjectStore,
     current: &Current,
@@ -128,7 +128,7 @@
     write_root(store, current, root).await
 }
 
-/// A part is named by its contents, so it does not matter who wrote it or how often.
+/// Writes a part. Parts are content-addressed, so a conflict means that it exists already.
 async fn write_part(
     store: &impl ObjectStore,
     part: &Part,
@@ -153,19 +153,19 @@
     root: Root,
 ) -> Result<Applied, ApplyError> {
     let precondition = current.version.map_or(Precondition::Absent, Precondition::Version);
-    // The type holds nothing that JSON cannot.
+    // Cannot fail: every field of the type is representable in JSON.
     let value = Bytes::from(serde_json::to_vec(&root).unwrap_or_default());
-    // Whether any write so far may have taken effect, or may yet.
-    let mut perhaps_written = false;
+    // Whether any write may have taken effect or may still do so.
+    let mut possibly_written = false;
     loop {
         let error = match store.write(ROOT_KEY, value.clone(), precondition).await {
             Ok(_) => return Ok(Applied::Accepted(root.generation)),
-            Err(WriteError::Conflict) => return judge_conflict(store, current, &root).await,
+            Err(WriteError::Conflict) => return resolve_conflict(store, current, &root).await,
             Err(error) => error,
         };
-        perhaps_written |= !matches!(error, WriteError::NotWritten(_));
+        possibly_written |= !matches!(error, WriteError::NotWritten(_));
         if !store.pause().await {
-            return Err(match perhaps_written {
+            return Err(match possibly_written {
                 true => ApplyError::Unknown { hint: HINT },
                 false => ApplyError::NotWritten { source: error },
             });
@@ -173,9 +173,9 @@
     }
 }
 
-/// The root is another than the one that the change was worked out from: by our own write, whose
-/// answer was lost, or by another operator's.
-async fn judge_conflict(
+/// Determines whether the root was changed by this apply, in a write whose answer was lost, or by
+/// another operator.
+async fn resolve_conflict(
     store: &impl ObjectStore,
     current: &Current,
     root: &Root,
@@ -183,7 +183,7 @@
     let found = loop {
         match read_current(store).await {
             Ok(found) if found.version > current.version => break found,
-            // A stale read: the conflict says that there is a later version.
+            // A stale read: the conflict implies a later version.
             Ok(_) | Err(ApplyError::Unreadable { .. }) => {}
             Err(error) => return Err(error),
         }
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Implementation of the commands.
 
 use crate::apply::{Applied, ApplyError, apply, read_current};
 use crate::arguments::{Apply, Arguments, Command, Diff, Explain, Status, Validate};
@@ -16,15 +16,15 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A result for scripts and for people.
-type Shown = (Value, String);
+/// Result of a command as JSON and as text.
+type CommandOutput = (Value, String);
 
-/// Time that the platform has for each answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(1);
-/// Time that `diff` goes on trying while the platform does not answer.
-const DIFF_PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of each request to the platform.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for which `diff` retries while the platform does not answer.
+const DIFF_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs the command given.
+/// Runs the command and prints its result.
 pub async fn run(arguments: Arguments) -> ExitCode {
     let result = match arguments.command {
         Command::Validate(arguments) => validate(&arguments),
@@ -36,7 +36,7 @@
     report(arguments.output, result)
 }
 
-fn validate(arguments: &Validate) -> Result<Shown, CommandError> {
+fn validate(arguments: &Validate) -> Result<CommandOutput, CommandError> {
     let configuration = load_directory(&arguments.directory).map_err(CommandError::Directory)?;
     let (tenants, services, backends) =
         (configuration.tenants.len(), configuration.services.len(), configuration.backends.len());
@@ -45,16 +45,16 @@
     Ok((value, text))
 }
 
-async fn diff(arguments: &Diff) -> Result<Shown, CommandError> {
+async fn diff(arguments: &Diff) -> Result<CommandOutput, CommandError> {
     let wanted = load_directory(&arguments.directory).map_err(CommandError::Directory)?;
-    let store = store(arguments.platform, DIFF_PATIENCE);
+    let store = store(arguments.platform, DIFF_RETRY_TIMEOUT);
     let current = read_current(&store).await.map_err(CommandError::Apply)?;
     let changes = differences(&current.configuration, &wanted);
     let value = json!({ "generation": current.generation(), "changes": changes });
     Ok((value, show::changes(&changes)))
 }
 
-async fn apply_directory(arguments: Apply) -> Result<Shown, CommandError> {
+async fn apply_directory(arguments: Apply) -> Result<CommandOutput, CommandError> {
     let wanted = load_directory(&arguments.directory).map_err(CommandError::Directory)?;
     let store = store(arguments.platform, Duration::from_secs(arguments.patience));
     let current = read_current(&store).await.map_err(CommandError::Apply)?;
@@ -81,7 +81,7 @@
     Ok((value, text))
 }
 
-async fn status(arguments: Status) -> Result<Shown, CommandError> {
+async fn status(arguments: Status) -> Result<CommandOutput, CommandError> {
     let mut statuses = Fleet::new(arguments.admin)?.statuses().await;
     let text = show::statuses(&statuses);
     if statuses.iter().all(|(_, status)| status.is_err()) {
@@ -97,12 +97,12 @@
     Ok((Value::from(processes), text))
 }
 
-async fn explain(arguments: Explain) -> Result<Shown, CommandError> {
-    let accounts = Fleet::new(arguments.admin)?.explain(&arguments.subject).await?;
-    let text = show::accounts(&accounts);
-    Ok((Value::from(accounts), text))
+async fn explain(arguments: Explain) -> Result<CommandOutput, CommandError> {
+    let reports = Fleet::new(arguments.admin)?.explain(&arguments.subject).await?;
+    let text = show::reports(&reports);
+    Ok((Value::from(reports), text))
 }
 
-fn store(address: SocketAddr, patience: Duration) -> PlatformStore {
-    PlatformStore::new(Platform::new(address, ANSWER_LIMIT), patience)
+fn store(address: SocketAddr, timeout: Duration) -> PlatformStore {
+    PlatformStore::new(Platform::new(address, PLATFORM_TIMEOUT), timeout)
 }
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Asking processes at their admin addresses.
+//! Queries to the admin addresses of processes.
 
 use crate::outcome::CommandError;
 use http_body_util::Full;
@@ -9,14 +9,14 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time that a process has to answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(2);
-/// Time between two looks whether a change is in force.
-const CHECK: Duration = Duration::from_millis(20);
-/// Time for an accepted change to come into force everywhere.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of a query to a process.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between checks whether a change is in force.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout for an accepted change to come into force at all queried processes.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Asks processes.
+/// Client of the admin addresses of a fleet.
 #[derive(Debug)]
 pub struct Fleet {
     client: Client,
@@ -24,7 +24,7 @@
 }
 
 impl Fleet {
-    /// The processes at these admin addresses.
+    /// Creates a client of these admin addresses, of which at least one is required.
     pub fn new(addresses: Vec<SocketAddr>) -> Result<Self, CommandError> {
         if addresses.is_empty() {
             return Err(CommandError::NoAdmin);
@@ -32,12 +32,12 @@
         Ok(Self { client: Client::new(ClientConfig::default()), addresses })
     }
 
-    /// The status of every process, or why it could not be had.
+    /// Returns the status of each process, or the error of its query.
     pub async fn statuses(&self) -> Vec<(SocketAddr, Result<Value, CommandError>)> {
         let mut statuses = Vec::new();
         for address in &self.addresses {
             let status = self
-                .ask(*address, "/status")
+                .query(*address, "/status")
                 .await
                 .and_then(|found| found.ok_or(CommandError::Answer { address: *address }));
             statuses.push((*address, status));
@@ -45,24 +45,24 @@
         statuses
     }
 
-    /// What each process knows about `subject`.
+    /// Returns the reports of all processes that know `subject`. Fails if none does.
     pub async fn explain(&self, subject: &str) -> Result<Vec<Value>, CommandError> {
-        let mut accounts = Vec::new();
+        let mut reports = Vec::new();
         let mut failure = None;
         for address in &self.addresses {
-            match self.ask(*address, &format!("/explain/{subject}")).await {
-                Ok(account) => accounts.extend(account),
+            match self.query(*address, &format!("/explain/{subject}")).await {
+                Ok(report) => reports.extend(report),
                 Err(error) => failure = Some(error),
             }
         }
-        match (accounts.is_empty(), failure) {
+        match (reports.is_empty(), failure) {
             (true, Some(error)) => Err(error),
             (true, None) => Err(CommandError::NotKnown { subject: subject.to_owned() }),
-            (false, _) => Ok(accounts),
+            (false, _) => Ok(reports),
         }
     }
 
-    /// Waits until every process has `generation` in force. Returns how long it took.
+    /// Waits until every process has `generation` or a later one in force. Returns the time waited.
     pub async fn wait_in_force(&self, generation: Generation) -> Result<Duration, CommandError> {
         let began = Instant::now();
         loop {
@@ -76,18 +76,18 @@
             if waiting.is_empty() {
                 return Ok(began.elapsed());
             }
-            if began.elapsed() >= IN_FORCE_LIMIT {
+            if began.elapsed() >= IN_FORCE_TIMEOUT {
                 return Err(CommandError::NotInForce { waiting: waiting.join(", ") });
             }
-            smol::Timer::after(CHECK).await;
+            smol::Timer::after(CHECK_INTERVAL).await;
         }
     }
 
-    async fn ask(&self, address: SocketAddr, path: &str) -> Result<Option<Value>, CommandError> {
+    async fn query(&self, address: SocketAddr, path: &str) -> Result<Option<Value>, CommandError> {
         let request = Request::builder().uri(path).body(Full::default()).unwrap_or_default();
         let reply = self
             .client
-            .call(address, request, ANSWER_LIMIT)
+            .call(address, request, QUERY_TIMEOUT)
             .await
             .map_err(|source| CommandError::Ask { address, source })?;
         if reply.status == StatusCode::NOT_FOUND {
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,5 +1,4 @@
-//! `mastbayctl`: what operators use to check and apply configurations and to ask the fleet about its
-//! state.
+//! `mastbayctl`, the command-line tool to validate and apply configurations and to query the fleet.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/outcome.rs
+++ b/crates/ctl/src/outcome.rs
@@ -9,36 +9,36 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Why a command failed.
+/// An error of a command.
 #[derive(Debug, Display, Error)]
 pub enum CommandError {
-    /// The directory is no configuration.
+    /// The directory does not hold a valid configuration.
     #[display("{_0}")]
     Directory(DirectoryError),
     /// Reading or applying failed.
     #[display("{_0}")]
     Apply(ApplyError),
-    /// A process could not be asked.
+    /// The query to a process failed.
     #[display("{address} cannot be asked: {source}")]
     Ask {
-        /// Its admin address.
+        /// Admin address of the process.
         address: SocketAddr,
         /// The cause.
         source: CallError,
     },
-    /// A process's answer is not understood.
+    /// The response of a process is invalid.
     #[display("the answer of {address} is not understood")]
     Answer {
-        /// Its admin address.
+        /// Admin address of the process.
         address: SocketAddr,
     },
     /// No admin address was given.
     #[display("give the admin address of at least one process with --admin")]
     NoAdmin,
-    /// Nobody knows the subject.
+    /// No queried process knows the subject.
     #[display("no process asked knows '{subject}'")]
     NotKnown {
-        /// What was asked about.
+        /// The request ID or tenant name.
         subject: String,
     },
     /// The change is accepted but not yet in force everywhere.
@@ -81,7 +81,7 @@
     }
 }
 
-/// Prints a result and gives the exit code.
+/// Prints a result and returns the exit code.
 pub fn report(form: OutputForm, result: Result<(Value, String), CommandError>) -> ExitCode {
     match (result, form) {
         (Ok((_, text)), OutputForm::Text) => {
@@ -93,13 +93,13 @@
             ExitCode::SUCCESS
         }
         (Err(error), form) => {
-            tell_error(form, &error);
+            print_error(form, &error);
             ExitCode::from(error.exit_code())
         }
     }
 }
 
-fn tell_error(form: OutputForm, error: &CommandError) {
+fn print_error(form: OutputForm, error: &CommandError) {
     let change = match error {
         CommandError::Apply(ApplyError::Conflict { change, .. }) => change.as_slice(),
         _ => &[],
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -1,4 +1,4 @@
-//! Results as text for people.
+//! Formatting of results as text.
 
 use crate::outcome::CommandError;
 use mastbay_configuration::Difference;
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Changes, one a line.
+/// Formats changes, one per line.
 pub fn changes(list: &[Difference]) -> String {
     if list.is_empty() {
         return "no change\n".to_owned();
@@ -14,7 +14,7 @@
     list.iter().map(|difference| format!("{difference}\n")).collect()
 }
 
-/// The fleet's state: a line for each process asked, then its members, cells and backlog.
+/// Formats the status of each queried process with its members, cells and backlog.
 pub fn statuses(list: &[(SocketAddr, Result<Value, CommandError>)]) -> String {
     let mut text = String::new();
     for (address, status) in list {
@@ -89,39 +89,39 @@
     }
 }
 
-/// Accounts of a request or tenant.
-pub fn accounts(list: &[Value]) -> String {
+/// Formats reports about a request or a tenant.
+pub fn reports(list: &[Value]) -> String {
     let mut text = String::new();
-    for account in list {
-        if account["request"].is_string() {
-            request(&mut text, account);
+    for report in list {
+        if report["request"].is_string() {
+            request(&mut text, report);
         } else {
-            tenant(&mut text, account);
+            tenant(&mut text, report);
         }
     }
     text
 }
 
-fn request(text: &mut String, account: &Value) {
+fn request(text: &mut String, report: &Value) {
     line(
         text,
         format_args!(
             "request {} tenant={} cell={}",
-            account["request"].as_str().unwrap_or("?"),
-            account["tenant"].as_str().unwrap_or("?"),
-            account["cell"].as_str().unwrap_or("?"),
+            report["request"].as_str().unwrap_or("?"),
+            report["tenant"].as_str().unwrap_or("?"),
+            report["cell"].as_str().unwrap_or("?"),
         ),
     );
-    for happening in account["happenings"].as_array().into_iter().flatten() {
-        let after = happening["after_ms"].as_f64().unwrap_or(0.0);
-        let what = happening["what"].as_str().unwrap_or("?");
+    for event in report["happenings"].as_array().into_iter().flatten() {
+        let after = event["after_ms"].as_f64().unwrap_or(0.0);
+        let what = event["what"].as_str().unwrap_or("?");
         line(text, format_args!("  {after:10.3} ms  {what}"));
     }
 }
 
-fn tenant(text: &mut String, account: &Value) {
-    line(text, format_args!("tenant {}", account["tenant"].as_str().unwrap_or("?")));
-    for cell in account["cells"].as_array().into_iter().flatten() {
+fn tenant(text: &mut String, report: &Value) {
+    line(text, format_args!("tenant {}", report["tenant"].as_str().unwrap_or("?")));
+    for cell in report["cells"].as_array().into_iter().flatten() {
         line(
             text,
             format_args!(
@@ -141,6 +141,6 @@
 }
 
 fn line(text: &mut String, content: std::fmt::Arguments<'_>) {
-    // Writing to a string cannot fail.
+    // Cannot fail: the target is a string.
     let _ = writeln!(text, "{content}");
 }
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -1,10 +1,10 @@
-//! What applying needs of the object API, so that it can be tested against every fault.
+//! Object API used to apply configurations, behind a trait for fault injection in tests.
 
 use bytes::Bytes;
 use mastbay_object_store::{Object, Platform, Precondition, ReadError, WriteError};
 use std::future::Future;
 
-/// An object API.
+/// An object store with conditional writes.
 pub trait ObjectStore {
     /// Reads an object.
     fn read(&self, key: &str) -> impl Future<Output = Result<Option<Object>, ReadError>>;
@@ -17,24 +17,24 @@
         precondition: Precondition,
     ) -> impl Future<Output = Result<u64, WriteError>>;
 
-    /// Waits a little before the next try. `false` when there is no time left for one.
+    /// Waits before a retry. Returns `false` if the time for retries is over.
     fn pause(&self) -> impl Future<Output = bool>;
 }
 
-/// The platform, with a limit on the time for tries.
+/// The platform's object API with a deadline for retries.
 #[derive(Debug)]
 pub struct PlatformStore {
     platform: Platform,
-    give_up: std::time::Instant,
+    deadline: std::time::Instant,
 }
 
-/// Pause between tries.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(200);
+/// Delay between attempts.
+const RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(200);
 
 impl PlatformStore {
-    /// The platform, tried for `patience`.
-    pub fn new(platform: Platform, patience: std::time::Duration) -> Self {
-        Self { platform, give_up: std::time::Instant::now() + patience }
+    /// Creates a store that retries for `timeout`.
+    pub fn new(platform: Platform, timeout: std::time::Duration) -> Self {
+        Self { platform, deadline: std::time::Instant::now() + timeout }
     }
 }
 
@@ -53,10 +53,10 @@
     }
 
     async fn pause(&self) -> bool {
-        if std::time::Instant::now() >= self.give_up {
+        if std::time::Instant::now() >= self.deadline {
             return false;
         }
-        smol::Timer::after(PAUSE).await;
+        smol::Timer::after(RETRY_DELAY).await;
         true
     }
 }
--- a/crates/ctl/src/tests.rs
+++ b/crates/ctl/src/tests.rs
@@ -1,3 +1,5 @@
+//! Tests that reported results of an apply are correct under platform faults.
+
 use crate::apply::{Applied, ApplyError, apply, read_current};
 use crate::store::ObjectStore;
 use bytes::Bytes;
@@ -10,13 +12,13 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// What the platform does with one call.
+/// Fault injected into one call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// The call has no effect and says so.
+    /// The call has no effect and is rejected.
     Refused,
-    /// The call has no effect and no answer.
+    /// The call has no effect and times out.
     Lost,
     /// A write takes effect without an answer; a read is stale.
     Half,
@@ -54,7 +56,7 @@
     }
 }
 
-/// A platform whose faults are given.
+/// An object store with injected faults.
 struct FaultyStore<'a> {
     contents: &'a RefCell<Contents>,
     faults: RefCell<Vec<Fault>>,
@@ -118,11 +120,11 @@
 }
 
 fn configuration(tenant: &str) -> FleetConfiguration {
-    let mut whole = FleetConfiguration::default();
+    let mut configuration = FleetConfiguration::default();
     let keys = vec![KeyDigest::of(tenant)];
     let declared = Tenant { weight: Weight::ONE, keys, most_waiting: 1 };
-    whole.tenants.insert(TenantName::from(tenant), declared);
-    whole
+    configuration.tenants.insert(TenantName::from(tenant), declared);
+    configuration
 }
 
 fn accepted_root(contents: &RefCell<Contents>) -> Option<Root> {
@@ -132,7 +134,7 @@
 }
 
 #[test]
-fn of_two_racing_operators_one_wins_and_the_other_is_shown_why() {
+fn of_two_concurrent_applies_one_is_accepted_and_the_other_conflicts() {
     smol::block_on(async {
         let contents = RefCell::default();
         let store = FaultyStore::new(&contents, Vec::new());
@@ -166,23 +168,25 @@
 }
 
 quickcheck! {
-    /// Whatever the platform does: what is reported accepted is in the root's history, and what is
-    /// reported refused is not and never will be.
-    fn what_is_reported_is_true(first: Vec<u8>, second: Vec<u8>, between: Vec<u8>) -> TestResult {
+    /// Under any faults, a change reported as accepted is in the root's history, and one reported
+    /// as not accepted never will be.
+    fn reports_are_correct(first: Vec<u8>, second: Vec<u8>, between: Vec<u8>) -> TestResult {
         smol::block_on(async {
             let contents = RefCell::default();
-            let calm = FaultyStore::new(&contents, Vec::new());
-            let start = read_current(&calm).await.expect("read");
-            apply(&calm, &start, &configuration("start"), "start".to_owned()).await.expect("applied");
-            let current = read_current(&calm).await.expect("read");
-            // Another operator may get in between, from the same point.
+            let faultless = FaultyStore::new(&contents, Vec::new());
+            let start = read_current(&faultless).await.expect("read");
+            apply(&faultless, &start, &configuration("start"), "start".to_owned())
+                .await
+                .expect("applied");
+            let current = read_current(&faultless).await.expect("read");
+            // Another operator may apply a change to the same base.
             if between.len() % 2 == 1 {
                 let store = FaultyStore::new(&contents, faults(&between));
                 let _ = apply(&store, &current, &configuration("other"), "other".to_owned()).await;
             }
             let store = FaultyStore::new(&contents, faults(&first));
             let result = apply(&store, &current, &configuration("mine"), "mine".to_owned()).await;
-            // Time passes: late writes arrive, others go on.
+            // Late writes arrive and another operator applies a change.
             contents.borrow_mut().late_write_arrives();
             let later = FaultyStore::new(&contents, faults(&second));
             if let Ok(now) = read_current(&later).await {
